--- a/src/telling.rs
+++ b/src/dissemination.rs
@@ -8,14 +8,14 @@
 /// How often news are told: some heartbeats are lost.
 const TELLINGS: u8 = 4;
 
-/// News that are still to be told.
+/// UpdateQueue that are still to be told.
 #[derive(Clone, Debug)]
-pub(crate) struct News<T> {
+pub(crate) struct UpdateQueue<T> {
     /// How often each is still to be told; never 0.
     left: IndexMap<T, u8>,
 }
 
-impl<T> Default for News<T> {
+impl<T> Default for UpdateQueue<T> {
     fn default() -> Self {
         Self {
             left: IndexMap::new(),
@@ -23,17 +23,17 @@
     }
 }
 
-impl<T> News<T>
+impl<T> UpdateQueue<T>
 where
     T: Clone + Eq + Hash,
 {
     /// Has something told, as often as if it was new.
-    pub(crate) fn tell(&mut self, news: &T) {
+    pub(crate) fn push(&mut self, news: &T) {
         self.left.insert(news.clone(), TELLINGS);
     }
 
     /// Has something told no more.
-    pub(crate) fn withdraw(&mut self, news: &T) {
+    pub(crate) fn remove(&mut self, news: &T) {
         self.left.shift_remove(news);
     }
 
@@ -43,13 +43,13 @@
     }
 
     /// Whether there is something that was not told yet.
-    pub(crate) fn has_untold(&self) -> bool {
+    pub(crate) fn has_unsent(&self) -> bool {
         self.left.values().any(|left| *left == TELLINGS)
     }
 
-    /// News for the next heartbeat, `most` at most. Those that are to be told again come after those that
+    /// UpdateQueue for the next heartbeat, `most` at most. Those that are to be told again come after those that
     /// were not told yet.
-    pub(crate) fn next(&mut self, most: usize) -> Vec<T> {
+    pub(crate) fn next_batch(&mut self, most: usize) -> Vec<T> {
         let told: Vec<T> = self.left.keys().take(most).cloned().collect();
         for news in &told {
             let left = self.left.shift_remove(news).unwrap_or_default();
@@ -70,7 +70,7 @@
 impl Rotation {
     /// The next ones of a list, `count` at most; behind its end it begins anew. The list may have changed
     /// since the last time.
-    pub(crate) fn next<'a, T>(
+    pub(crate) fn next_batch<'a, T>(
         &mut self,
         list: &'a [T],
         count: usize,
--- a/src/telling_tests.rs
+++ b/src/dissemination_tests.rs
@@ -1,16 +1,16 @@
-//! News and lists in heartbeats.
+//! UpdateQueue and lists in heartbeats.
 
 use std::collections::BTreeSet;
 
-use super::telling::{News, Rotation};
+use super::dissemination::{Rotation, UpdateQueue};
 
 #[test]
 fn news_are_told_four_times_and_those_not_told_yet_come_first() {
-    let mut news = News::default();
+    let mut news = UpdateQueue::default();
     for number in 0..5 {
-        news.tell(&number);
+        news.push(&number);
     }
-    let told: Vec<Vec<i32>> = (0..11).map(|_| news.next(2)).collect();
+    let told: Vec<Vec<i32>> = (0..11).map(|_| news.next_batch(2)).collect();
     assert_eq!(told[0..3], [vec![0, 1], vec![2, 3], vec![4, 0]]);
     for number in 0..5 {
         let times = told.iter().flatten().filter(|it| **it == number).count();
@@ -21,15 +21,15 @@
 
 #[test]
 fn what_is_told_anew_is_untold_and_what_is_withdrawn_is_not_told() {
-    let mut news = News::default();
-    news.tell(&"a");
-    assert!(news.has_untold());
-    news.next(9);
-    assert!(!news.has_untold() && news.contains(&"a"));
-    news.tell(&"a");
-    assert!(news.has_untold());
-    news.withdraw(&"a");
-    assert!(news.next(9).is_empty());
+    let mut news = UpdateQueue::default();
+    news.push(&"a");
+    assert!(news.has_unsent());
+    news.next_batch(9);
+    assert!(!news.has_unsent() && news.contains(&"a"));
+    news.push(&"a");
+    assert!(news.has_unsent());
+    news.remove(&"a");
+    assert!(news.next_batch(9).is_empty());
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let mut rotation = Rotation::default();
     let list: Vec<u32> = (0..5).collect();
     let told: Vec<u32> = (0..3)
-        .flat_map(|_| rotation.next(&list, 2).copied().collect::<Vec<_>>())
+        .flat_map(|_| rotation.next_batch(&list, 2).copied().collect::<Vec<_>>())
         .collect();
     assert_eq!(told, vec![0, 1, 2, 3, 4, 0]);
     assert_eq!(told.iter().collect::<BTreeSet<_>>().len(), list.len());
@@ -46,7 +46,7 @@
 #[test]
 fn a_rotation_tells_nothing_twice_at_once_and_bears_a_list_that_shrinks() {
     let mut rotation = Rotation::default();
-    assert_eq!(rotation.next(&[1, 2, 3], 9).count(), 3);
-    assert_eq!(rotation.next(&[1], 2).count(), 1);
-    assert_eq!(rotation.next(&[] as &[i32], 2).count(), 0);
+    assert_eq!(rotation.next_batch(&[1, 2, 3], 9).count(), 3);
+    assert_eq!(rotation.next_batch(&[1], 2).count(), 1);
+    assert_eq!(rotation.next_batch(&[] as &[i32], 2).count(), 0);
 }
--- a/src/fleet/pacing_book.rs
+++ b/src/fleet/pacing_book.rs
@@ -4,8 +4,8 @@
 
 use super::rate_limit::{Permits, effective_per_s};
 use super::{LimitWord, Pacing, PacingChange, ToldLimit};
+use crate::dissemination::{Rotation, UpdateQueue};
 use crate::ids::EndpointId;
-use crate::telling::{News, Rotation};
 
 /// How long the word of an endpoint that has left the list is kept: its entry may be back when the store
 /// is, which may be away for tens of seconds.
@@ -98,7 +98,7 @@
 pub(crate) struct PacingBook {
     endpoints: IndexMap<EndpointId, Paced>,
     /// Endpoints whose limits were heard here and are news.
-    news: News<EndpointId>,
+    news: UpdateQueue<EndpointId>,
     /// How far the other limits have been told in turn.
     turn: Rotation,
 }
@@ -118,7 +118,7 @@
             said.limit != LimitWord::Unsaid && (now_per_s, before_per_s) != (None, None);
         if says_limit && known.set_limit(now_per_s, Source::Endpoint, now_ms) {
             if is_news(before_per_s, now_per_s) {
-                self.news.tell(id);
+                self.news.push(id);
             }
             changes.push(PacingChange::Limit {
                 before_per_s,
@@ -162,14 +162,14 @@
         };
         let is_newer = known.limit_said_ms == 0 || said_ms > known.limit_said_ms + margin_ms;
         if is_newer {
-            self.news.withdraw(&told.endpoint);
+            self.news.remove(&told.endpoint);
         }
         is_newer && known.set_limit(told.limit_per_s, Source::Peer, said_ms)
     }
 
     /// Whether others are to be told something at once.
     pub(crate) fn has_untold_news(&self) -> bool {
-        self.news.has_untold()
+        self.news.has_unsent()
     }
 
     /// Limits for the next heartbeat: news a few times, and in turn what was lately heard here.
@@ -179,8 +179,8 @@
             !is_news && it.is_told_in_turn(now_ms)
         });
         let in_turn: Vec<EndpointId> = in_turn.map(|(id, _)| id.clone()).collect();
-        let in_turn = self.turn.next(&in_turn, IN_TURN);
-        let news = self.news.next(MOST_NEWS);
+        let in_turn = self.turn.next_batch(&in_turn, IN_TURN);
+        let news = self.news.next_batch(MOST_NEWS);
         in_turn
             .chain(&news)
             .filter_map(|id| Some(self.endpoints.get(id)?.told_limit(id, now_ms)))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,9 @@
 pub mod control;
 pub mod control_server;
 pub mod ctl;
+mod dissemination;
+#[cfg(test)]
+mod dissemination_tests;
 pub mod document;
 pub mod entry;
 pub mod exit_codes;
@@ -38,9 +41,6 @@
 pub mod rpc;
 pub mod settings;
 pub mod telemetry;
-mod telling;
-#[cfg(test)]
-mod telling_tests;
 pub mod wire;
 
 pub use checked_toml::{Fault, FaultKind, Faults};
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -7,8 +7,8 @@
 use super::pending::{BrokenRun, Pending};
 use super::verdict::{Death, Deaths, ENDS_TO_WITHHOLD, withheld};
 use super::{Fate, RequestDigest, RunStage, ToldClearance, ToldDeath};
+use crate::dissemination::Rotation;
 use crate::ids::EndpointId;
-use crate::telling::Rotation;
 
 /// How long evidence counts after the newest end under a request. A caller who comes again within it
 /// finds the request still withheld; one wrongly withheld, whose answers are all forgotten, waits no
@@ -244,7 +244,7 @@
                 enough.map(move |endpoint| (digest, endpoint))
             })
             .collect();
-        let turn = self.reminded.next(&all, MOST_REMINDERS);
+        let turn = self.reminded.next_batch(&all, MOST_REMINDERS);
         turn.filter_map(|(digest, endpoint)| self.told_death(digest, endpoint, now_ms))
             .collect()
     }
--- a/src/relay_server/asking.rs
+++ b/src/relay_server/asking.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::peer::Informant;
+use super::peer::SyncSource;
 use super::snapshot::Known;
 use super::uplink::UNKNOWN_LINK_MBPS;
 use crate::ids::InstanceId;
@@ -67,7 +67,7 @@
 /// Whom to ask, and for what.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Question {
-    pub(super) peer: Informant,
+    pub(super) peer: SyncSource,
     /// Whether the document is asked for, beside the list of endpoints.
     pub(super) wants_document: bool,
 }
@@ -95,12 +95,12 @@
     /// Notes whether a peer knows more. Returns since when.
     pub(super) fn note_behind(
         &mut self,
-        informants: &[Informant],
+        sync_sources: &[SyncSource],
         known: Known,
         now_ms: u64,
     ) -> Option<u64> {
-        let is_behind = informants.iter().any(|it| it.knows_more(known));
-        let lacks_document = informants.iter().any(|it| it.table > known.table);
+        let is_behind = sync_sources.iter().any(|it| it.is_ahead_of(known));
+        let lacks_document = sync_sources.iter().any(|it| it.table > known.table);
         let since = |since_ms: Option<u64>| since_ms.unwrap_or(now_ms);
         self.behind_since_ms = is_behind.then_some(since(self.behind_since_ms));
         self.lacks_document_since_ms =
@@ -108,11 +108,11 @@
         self.behind_since_ms
     }
 
-    /// Decides what to do, where `informants` are the peers that are heard. `begun` says what is here in
+    /// Decides what to do, where `sync_sources` are the peers that are heard. `begun` says what is here in
     /// part already.
     pub(super) fn next(
         &mut self,
-        informants: &[Informant],
+        sync_sources: &[SyncSource],
         knowledge: Knowledge,
         known: Known,
         begun: Begun<'_>,
@@ -128,14 +128,14 @@
         let may_ask_far = self
             .lacks_document_since_ms
             .is_some_and(|since_ms| now_ms >= since_ms + FAR_PATIENCE_MS);
-        let source = self.source(informants, known, begun.document, may_ask_far, draw);
+        let source = self.source(sync_sources, known, begun.document, may_ask_far, draw);
         if let Source::At(peer) = source {
             return Next::Ask(Question {
                 peer: peer.clone(),
                 wants_document: true,
             });
         }
-        let lister = self.lister(informants, knowledge, known, begun.list_giver, draw);
+        let lister = self.lister(sync_sources, knowledge, known, begun.list_giver, draw);
         if let Source::At(peer) = lister {
             return Next::Ask(Question {
                 peer: peer.clone(),
@@ -169,16 +169,16 @@
     /// Who is asked for the document.
     fn source<'a>(
         &self,
-        informants: &'a [Informant],
+        sync_sources: &'a [SyncSource],
         known: Known,
         part_of: Option<u64>,
         may_ask_far: bool,
         draw: u64,
     ) -> Source<'a> {
-        let newer = informants
+        let newer = sync_sources
             .iter()
             .filter(|it| it.table > known.table && !self.failed.contains_key(&it.instance));
-        let (near, far): (Vec<_>, Vec<_>) = newer.partition(|it| it.is_near);
+        let (near, far): (Vec<_>, Vec<_>) = newer.partition(|it| it.is_same_zone);
         let all = if near.is_empty() && may_ask_far {
             far
         } else {
@@ -186,9 +186,9 @@
         };
         // Those that can go on with what was begun, if there are any.
         let same = all.iter().copied().filter(|it| Some(it.table) == part_of);
-        let same: Vec<&Informant> = same.collect();
+        let same: Vec<&SyncSource> = same.collect();
         let all = if same.is_empty() { all } else { same };
-        let (busy, free): (Vec<&Informant>, Vec<&Informant>) = all
+        let (busy, free): (Vec<&SyncSource>, Vec<&SyncSource>) = all
             .into_iter()
             .partition(|it| self.busy.contains_key(&it.instance));
         if let Some(peer) = by_link(&free, draw) {
@@ -201,23 +201,24 @@
     /// has it hands it on, those with fast links rather than others.
     fn lister<'a>(
         &self,
-        informants: &'a [Informant],
+        sync_sources: &'a [SyncSource],
         knowledge: Knowledge,
         known: Known,
         giver: Option<&InstanceId>,
         draw: u64,
     ) -> Source<'a> {
-        let others = informants
+        let others = sync_sources
             .iter()
             .filter(|it| !self.failed.contains_key(&it.instance))
             .filter(|it| knowledge.is_list_old() || it.list.changed > known.list);
-        let (busy, free): (Vec<&Informant>, Vec<&Informant>) =
+        let (busy, free): (Vec<&SyncSource>, Vec<&SyncSource>) =
             others.partition(|it| self.list_busy.contains_key(&it.instance));
         if let Some(peer) = free.iter().find(|it| Some(&it.instance) == giver) {
             return Source::At(peer);
         }
         let chosen = if known.list == 0 {
-            let near: Vec<&Informant> = free.iter().copied().filter(|it| it.is_near).collect();
+            let near: Vec<&SyncSource> =
+                free.iter().copied().filter(|it| it.is_same_zone).collect();
             by_link(if near.is_empty() { &free } else { &near }, draw)
         } else {
             Self::best_lister(&free, known, draw)
@@ -229,13 +230,17 @@
     }
 
     /// One of those that are asked first for what has changed.
-    fn best_lister<'a>(others: &[&'a Informant], known: Known, draw: u64) -> Option<&'a Informant> {
-        let order = |it: &Informant| {
+    fn best_lister<'a>(
+        others: &[&'a SyncSource],
+        known: Known,
+        draw: u64,
+    ) -> Option<&'a SyncSource> {
+        let order = |it: &SyncSource| {
             let has_news = it.list.changed > known.list;
-            Reverse((has_news, it.is_near, it.reaches_store))
+            Reverse((has_news, it.is_same_zone, it.reaches_store))
         };
         let best = others.iter().map(|it| order(it)).min()?;
-        let best: Vec<&Informant> = others
+        let best: Vec<&SyncSource> = others
             .iter()
             .copied()
             .filter(|it| order(it) == best)
@@ -256,7 +261,7 @@
 /// Where a document, or the list, is to be had.
 #[derive(Clone, Copy, Debug)]
 enum Source<'a> {
-    At(&'a Informant),
+    At(&'a SyncSource),
     /// There is room then.
     Later {
         at_ms: u64,
@@ -275,21 +280,21 @@
 }
 
 /// When the first of these peers has room, where `until_ms` says when each has.
-fn soonest<'a>(peers: &[&'a Informant], until_ms: &IndexMap<InstanceId, u64>) -> Source<'a> {
+fn soonest<'a>(peers: &[&'a SyncSource], until_ms: &IndexMap<InstanceId, u64>) -> Source<'a> {
     let room = peers.iter().filter_map(|it| until_ms.get(&it.instance));
     room.min()
         .map_or(Source::Nowhere, |at_ms| Source::Later { at_ms: *at_ms })
 }
 
 /// One of those, the likelier the faster its link.
-fn by_link<'a>(informants: &[&'a Informant], draw: u64) -> Option<&'a Informant> {
-    let speed = |it: &Informant| match it.link_mbps {
+fn by_link<'a>(sync_sources: &[&'a SyncSource], draw: u64) -> Option<&'a SyncSource> {
+    let speed = |it: &SyncSource| match it.link_mbps {
         0 => u64::from(UNKNOWN_LINK_MBPS),
         known => u64::from(known),
     };
-    let sum: u64 = informants.iter().map(|it| speed(it)).sum();
+    let sum: u64 = sync_sources.iter().map(|it| speed(it)).sum();
     let mut left = draw.checked_rem(sum)?;
-    informants.iter().copied().find(|it| {
+    sync_sources.iter().copied().find(|it| {
         let is_it = left < speed(it);
         left = left.saturating_sub(speed(it));
         is_it
--- a/src/relay_server/asking_tests.rs
+++ b/src/relay_server/asking_tests.rs
@@ -4,26 +4,31 @@
 
 use super::asking::{Asking, Begun, Knowledge, Next, Question};
 use super::list_log::ListMark;
-use super::peer::Informant;
+use super::peer::SyncSource;
 use super::snapshot::Known;
 use crate::ids::InstanceId;
 
 const KNOWN: Known = Known { table: 5, list: 7 };
 const NOW_MS: u64 = 10_000;
 
-pub(super) fn informant(port: u16, table: u64, is_near: bool, reaches_store: bool) -> Informant {
-    Informant {
+pub(super) fn informant(
+    port: u16,
+    table: u64,
+    is_same_zone: bool,
+    reaches_store: bool,
+) -> SyncSource {
+    SyncSource {
         instance: InstanceId::from(format!("peer-{port}")),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         table,
         list: ListMark::default(),
         link_mbps: 20,
         reaches_store,
-        is_near,
+        is_same_zone,
     }
 }
 
-pub(super) fn with_list_news(mut informant: Informant) -> Informant {
+pub(super) fn with_list_news(mut informant: SyncSource) -> SyncSource {
     informant.list = ListMark {
         position: 9,
         changed: 9,
@@ -42,18 +47,18 @@
 
 fn next(
     asking: &mut Asking,
-    informants: &[Informant],
+    sync_sources: &[SyncSource],
     part_of: Option<u64>,
     draw: u64,
     now_ms: u64,
 ) -> Next {
-    let behind_since_ms = asking.note_behind(informants, KNOWN, now_ms);
+    let behind_since_ms = asking.note_behind(sync_sources, KNOWN, now_ms);
     let knowledge = knowledge(behind_since_ms);
     let begun = Begun {
         document: part_of,
         list_giver: None,
     };
-    asking.next(informants, knowledge, KNOWN, begun, draw, now_ms)
+    asking.next(sync_sources, knowledge, KNOWN, begun, draw, now_ms)
 }
 
 fn port(next: &Next) -> Option<(u16, bool)> {
@@ -66,7 +71,7 @@
     }
 }
 
-fn everybody() -> [Informant; 5] {
+fn everybody() -> [SyncSource; 5] {
     [
         informant(1, 5, true, true),
         informant(2, 6, false, true),
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -11,7 +11,7 @@
 use super::adapter::{Adapter, EngineControl, OrderFailure};
 use super::checks::{Lifetime, answering_lifetime};
 use super::node::Node;
-use super::peer_book::HolderEnd;
+use super::peer_book::HolderStatus;
 use crate::clients::call_table;
 use crate::clock::boot_ms;
 use crate::fleet::{Phase, Trouble};
@@ -109,7 +109,7 @@
         let is_start = engines.iter().all(|engine| engine.layers.is_none());
         let is_settled = !is_start || now_ms >= self.changed_ms + SETTLE_MS;
         let may_lead = node.availability().may_lead();
-        let is_first = may_lead && node.peers.borrow().is_first(now_ms);
+        let is_first = may_lead && node.peers.borrow().is_preferred_leader(now_ms);
         let orders = if is_first && is_settled {
             self.placement.due(&engines, model, now_ms)
         } else {
@@ -144,7 +144,9 @@
         }
         if let Some(held) = self.lease.held(boot_ms()) {
             log::info!(service = service.as_str(), fence = held.fence; "lease is given up");
-            node.peers.borrow_mut().tell_given_up(service, held.fence);
+            node.peers
+                .borrow_mut()
+                .announce_lease_release(service, held.fence);
             node.wake_streams();
         }
     }
@@ -154,15 +156,19 @@
         let Some(holder) = self.lease.holder() else {
             return;
         };
-        let end = node.peers.borrow().has_ended(service, &holder, boot_ms());
+        let end = node
+            .peers
+            .borrow()
+            .lease_holder_status(service, &holder, boot_ms());
         let are_fenced = node.settings.bounds.engines_check_fence;
-        let has_ended = end == HolderEnd::Surely || (end == HolderEnd::Perhaps && are_fenced);
+        let has_ended =
+            end == HolderStatus::Ended || (end == HolderStatus::PresumedEnded && are_fenced);
         if has_ended && self.lease.ended(holder.fence) {
             log::info!(
                 service = service.as_str(),
                 holder = holder.instance.as_str(),
                 fence = holder.fence,
-                evidence:? = end;
+                evidence = end.log_value();
                 "holder of the lease has ended"
             );
         }
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -77,7 +77,7 @@
 where
     A: Adapter,
 {
-    if node.peers.borrow().is_among_first(boot_ms()) {
+    if node.peers.borrow().is_top_ranked_in_zone(boot_ms()) {
         RETRY_MS
     } else {
         STEPPED_IN_RETRY_MS
@@ -152,7 +152,7 @@
     A: Adapter,
 {
     let now_ms = boot_ms();
-    let was_away = node.store.get().is_away(now_ms);
+    let was_away = node.store.get().is_unavailable(now_ms);
     let taken = list_sync::take_read(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
@@ -173,7 +173,7 @@
     A: Adapter,
 {
     let mut store = node.store.get();
-    if store.failed(boot_ms()) {
+    if store.record_failure(boot_ms()) {
         log::warn!(feed, failure:% = failure; "store is lost");
     }
     node.store.set(store);
@@ -187,7 +187,7 @@
     node.counters.count("relay.store.answers");
     let now_ms = boot_ms();
     let mut store = node.store.get();
-    if let Some(at_ms) = store.answered(now_ms) {
+    if let Some(at_ms) = store.record_answer(now_ms) {
         log::info!(since_ms = now_ms - at_ms; "store is back");
     }
     node.store.set(store);
--- a/src/relay_server/handing_on_tests/world.rs
+++ b/src/relay_server/handing_on_tests/world.rs
@@ -10,10 +10,10 @@
 
 use super::super::asking::{Asking, Begun, Knowledge, Next};
 use super::super::list_log::ListMark;
-use super::super::peer::Informant;
-use super::super::peer_book::HEARTBEAT_MS;
-use super::super::reading::FIRST_OF_ZONE;
+use super::super::peer::SyncSource;
+use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
 use super::super::snapshot::{FETCH_TIMEOUT_MS, Known, LOOK_MS};
+use super::super::store_readers::READERS_PER_ZONE;
 use super::super::uplink::{Admission, Uplink};
 use super::links::{LinkEvent, Links, Transfer};
 use crate::ids::InstanceId;
@@ -68,7 +68,7 @@
 
 impl Instance {
     fn reads_store(&self) -> bool {
-        self.place < FIRST_OF_ZONE
+        self.place < READERS_PER_ZONE
     }
 }
 
@@ -145,7 +145,7 @@
             figures: Figures::default(),
         };
         for index in 0..count {
-            let phase_us = world.rng.random_range(0..HEARTBEAT_MS * 1_000);
+            let phase_us = world.rng.random_range(0..HEARTBEAT_INTERVAL_MS * 1_000);
             world.push(index, phase_us, Event::Beat);
             world.push(index, phase_us, Event::Look);
         }
@@ -244,7 +244,7 @@
         match event {
             Event::Beat => {
                 self.send(index);
-                self.push(index, HEARTBEAT_MS * 1_000, Event::Beat);
+                self.push(index, HEARTBEAT_INTERVAL_MS * 1_000, Event::Beat);
             }
             Event::Heard { from, table } => {
                 let own = &mut self.instances[index];
@@ -324,27 +324,27 @@
         }
     }
 
-    fn informants(&self, index: usize) -> Vec<Informant> {
+    fn sync_sources(&self, index: usize) -> Vec<SyncSource> {
         let now_ms = self.now_ms();
         let own = &self.instances[index];
         let others = self.instances.iter().enumerate().filter(|it| it.0 != index);
         let is_heard = |at_ms: u64, is_near: bool| !is_near || now_ms < at_ms + SILENT_MS;
         // Others have nothing to tell.
         let know_more = others.filter(|it| own.heard[it.0].0 > own.table);
-        let mut informants: Vec<Informant> = know_more
+        let mut sync_sources: Vec<SyncSource> = know_more
             .filter(|(at, it)| is_heard(own.heard[*at].1, it.zone == own.zone))
-            .map(|(at, it)| Informant {
+            .map(|(at, it)| SyncSource {
                 instance: it.name.clone(),
                 address: it.address,
                 table: own.heard[at].0,
                 list: ListMark::default(),
                 link_mbps: it.link_mbps,
                 reaches_store: it.reads_store() && it.is_answered,
-                is_near: it.zone == own.zone,
+                is_same_zone: it.zone == own.zone,
             })
             .collect();
-        informants.sort_by_key(|it| Reverse((it.reaches_store, it.table)));
-        informants
+        sync_sources.sort_by_key(|it| Reverse((it.reaches_store, it.table)));
+        sync_sources
     }
 
     fn look(&mut self, index: usize) {
@@ -352,7 +352,7 @@
             return;
         }
         let now_ms = self.now_ms();
-        let informants = self.informants(index);
+        let sync_sources = self.sync_sources(index);
         let draw = self.rng.random();
         let own = &mut self.instances[index];
         let known = Known {
@@ -360,7 +360,7 @@
             list: 0,
         };
         let knowledge = Knowledge {
-            behind_since_ms: own.asking.note_behind(&informants, known, now_ms),
+            behind_since_ms: own.asking.note_behind(&sync_sources, known, now_ms),
             reads_store: own.reads_store(),
             is_fed: true,
             list_age_ms: 0,
@@ -372,7 +372,7 @@
         };
         let next = own
             .asking
-            .next(&informants, knowledge, known, begun, draw, now_ms);
+            .next(&sync_sources, knowledge, known, begun, draw, now_ms);
         match next {
             Next::Nothing => {}
             Next::Wait { wait_ms } => self.push(index, wait_ms * 1_000, Event::LookAgain),
@@ -380,7 +380,7 @@
         }
     }
 
-    fn ask(&mut self, index: usize, peer: &Informant) {
+    fn ask(&mut self, index: usize, peer: &SyncSource) {
         let found = self
             .instances
             .iter()
@@ -413,7 +413,7 @@
             0
         };
         match own.uplink.admit(self.document_bytes - has, now_ms) {
-            Admission::Given { bytes } => {
+            Admission::Granted { bytes } => {
                 self.figures.calls += 1;
                 self.figures.given_bytes += bytes;
                 let given = (own.table, bytes);
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -41,7 +41,7 @@
     /// When it was sent, on the sender's clock.
     pub(super) sent_ms: u64,
     /// Endpoints that do not answer.
-    pub(super) unsound: Vec<EndpointId>,
+    pub(super) unhealthy: Vec<EndpointId>,
     /// Endpoints that are leaving or gone.
     pub(super) leaving: Vec<EndpointId>,
     /// Endpoints that have said to the sender that they leave, which holds whatever the list shows.
@@ -56,7 +56,7 @@
     /// Instances that the sender knows of, itself included.
     pub(super) known_instances: u32,
     /// Repeats that the sender lacks; told to its own zone.
-    pub(super) repeat_needs: Vec<RepeatAmount>,
+    pub(super) retry_needs: Vec<RepeatAmount>,
     /// What is known of requests under which endpoints have ended.
     pub(super) evidence: ToldEvidence,
     /// Limits that endpoints have named to the sender.
@@ -92,13 +92,13 @@
     /// It reads the store itself and is answered, so that it can take the lease on orders to engines.
     pub(crate) reaches_store: bool,
     /// What the store has reaches it soon: it is answered itself, or hears one in its zone that is.
-    pub(crate) is_fed: bool,
+    pub(crate) receives_store_updates: bool,
 }
 
 impl Availability {
     /// Whether the instance serves everybody and learns of changes as soon as any.
     pub(crate) fn is_current(self) -> bool {
-        self.is_ready && self.is_fed
+        self.is_ready && self.receives_store_updates
     }
 
     /// Whether the instance can give orders to engines.
@@ -125,7 +125,7 @@
     /// What this instance's streams hold.
     pub(crate) held: Vec<HeldLoad>,
     /// Repeats that are missing here.
-    pub(crate) repeat_needs: Vec<RepeatAmount>,
+    pub(crate) retry_needs: Vec<RepeatAmount>,
     /// What others should know of requests under which endpoints have ended.
     pub(crate) evidence: ToldEvidence,
     /// Limits that endpoints have named to this instance.
--- a/src/relay_server/held_tokens.rs
+++ b/src/relay_server/held_tokens.rs
@@ -23,7 +23,7 @@
     A: Adapter,
 {
     /// Counts them from now on.
-    pub(super) fn begin(node: &Rc<Node<A>>, chain: Chain, tokens: u64) -> Self {
+    pub(super) fn start(node: &Rc<Node<A>>, chain: Chain, tokens: u64) -> Self {
         node.hold_tokens(&chain, tokens, true);
         Self {
             node: Rc::clone(node),
@@ -34,7 +34,7 @@
     }
 
     /// Notes that an event has come: each passes all stages, so that every engine of the chain lives.
-    pub(super) fn event(&self, now_ms: u64) {
+    pub(super) fn record_event(&self, now_ms: u64) {
         for heard in &self.heard {
             heard.note(now_ms);
         }
@@ -46,7 +46,7 @@
     }
 
     /// Counts them at another chain from now on.
-    pub(super) fn change(&mut self, chain: Chain) {
+    pub(super) fn move_to(&mut self, chain: Chain) {
         self.node.hold_tokens(&self.chain, self.tokens, false);
         self.node.hold_tokens(&chain, self.tokens, true);
         self.heard = heard_of(&self.node, &chain);
--- a/src/relay_server/list_parts.rs
+++ b/src/relay_server/list_parts.rs
@@ -7,7 +7,7 @@
 
 use super::list_log::{ListMark, ListNews};
 use super::list_sync::ListUpdate;
-use super::peer::Informant;
+use super::peer::SyncSource;
 use super::query::query_pairs;
 use super::snapshot::Known;
 use crate::fleet::ListedEndpoint;
@@ -196,9 +196,9 @@
 
     /// Drops what is here unless its giver is heard and still knows more: nobody else is asked for the
     /// whole list meanwhile.
-    pub(super) fn drop_without_giver(&mut self, informants: &[Informant], known: Known) {
-        let is_giver = |it: &&Informant| Some(&it.instance) == self.giver();
-        let giver = informants.iter().find(is_giver);
+    pub(super) fn drop_without_giver(&mut self, sync_sources: &[SyncSource], known: Known) {
+        let is_giver = |it: &&SyncSource| Some(&it.instance) == self.giver();
+        let giver = sync_sources.iter().find(is_giver);
         if giver.is_none_or(|it| it.list.changed <= known.list) {
             self.clear();
         }
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -11,11 +11,11 @@
 use super::super::list_log::ListLog;
 use super::super::list_sync::{self, ListUpdate};
 use super::super::pacing::share_limits;
-use super::super::peer::{Informant, InstanceRecord, Recipient};
+use super::super::peer::{InstanceRecord, Recipient, SyncSource};
 use super::super::peer_book::PeerBook;
 use super::super::settings::RelaySettings;
 use super::super::snapshot::Known;
-use super::super::store_contact::StoreContact;
+use super::super::store_contact::StoreHealth;
 use super::super::test_settings;
 use super::store::Access;
 use crate::fleet::{
@@ -40,7 +40,7 @@
     pub(super) book: PeerBook,
     pub(super) log: ListLog,
     pub(super) fleet: Fleet,
-    pub(super) store: StoreContact,
+    pub(super) store: StoreHealth,
     pub(super) access: Access,
     pub(super) reads: bool,
     pub(super) process: Process,
@@ -83,7 +83,7 @@
             book,
             log: ListLog::default(),
             fleet: Fleet::default(),
-            store: StoreContact::default(),
+            store: StoreHealth::default(),
             access: Access::Answers,
             reads: false,
             process: Process::Killed,
@@ -102,11 +102,11 @@
         self.record.incarnation = Incarnation::draw(rng);
         self.book = PeerBook::new(&settings(&self.record), self.record.incarnation, now_ms);
         for record in records {
-            self.book.learn(record.clone(), now_ms);
+            self.book.add_record(record.clone(), now_ms);
         }
         self.log = ListLog::default();
         self.fleet = Fleet::default();
-        self.store = StoreContact::default();
+        self.store = StoreHealth::default();
         self.reads = false;
         self.position = None;
         self.is_asking = false;
@@ -148,26 +148,26 @@
         self.fleet.pacing.hear(id, said, now_ms);
         share_limits(&mut self.fleet, &self.book, now_ms);
         if self.fleet.pacing.has_untold_news() {
-            self.book.tell_knowledge();
+            self.book.request_heartbeat();
         }
     }
 
     fn is_fed(&self, now_ms: u64) -> bool {
         if self.reads {
-            self.store.answers()
+            self.store.is_answering()
         } else {
-            self.book.is_fed_by_zone(now_ms)
+            self.book.zone_has_store_reader(now_ms)
         }
     }
 
     fn own_state(&mut self, now_ms: u64) -> OwnState {
-        let answered_ms = self.store.answered_ms().filter(|_| self.reads);
+        let answered_ms = self.store.last_answer_ms().filter(|_| self.reads);
         OwnState {
             availability: Availability {
                 is_ready: self.fleet.is_known(),
                 is_open: self.fleet.is_known(),
-                reaches_store: self.reads && self.store.answers(),
-                is_fed: self.is_fed(now_ms),
+                reaches_store: self.reads && self.store.is_answering(),
+                receives_store_updates: self.is_fed(now_ms),
             },
             table: 1,
             table_age_ms: 0,
@@ -175,7 +175,7 @@
             list_age_ms: self.fleet.age_ms(now_ms),
             store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
             held: Vec::new(),
-            repeat_needs: Vec::new(),
+            retry_needs: Vec::new(),
             evidence: self.quarantine.next_told(now_ms),
             limits: self.fleet.pacing.next_told(now_ms),
         }
@@ -183,8 +183,8 @@
 
     /// Decides anew whether the store is read here. Returns whether that begins now.
     pub(super) fn look_at_reading(&mut self, now_ms: u64) -> bool {
-        let answered_ms = self.store.answered_ms();
-        let view = self.book.reading_view(self.reads, answered_ms, now_ms);
+        let answered_ms = self.store.last_answer_ms();
+        let view = self.book.store_reader_view(self.reads, answered_ms, now_ms);
         let should_read = view.should_read(now_ms);
         let begins = should_read && !self.reads;
         self.reads = should_read;
@@ -194,7 +194,7 @@
     pub(super) fn heartbeat(&mut self, now_ms: u64) -> (Heartbeat, Vec<Recipient>) {
         let own = self.own_state(now_ms);
         let heartbeat = self.book.heartbeat(&own, now_ms);
-        self.book.forget_silent(now_ms);
+        self.book.remove_expired(now_ms);
         share_limits(&mut self.fleet, &self.book, now_ms);
         let recipients = self.book.recipients(own.availability, now_ms);
         (heartbeat, recipients)
@@ -208,13 +208,13 @@
         echo: Option<Echo>,
         now_ms: u64,
     ) -> bool {
-        self.book.hear(heartbeat, from, now_ms);
-        let sent_ms = self.book.own_sending_heard(echo);
+        self.book.apply_heartbeat(heartbeat, from, now_ms);
+        let sent_ms = self.book.acknowledged_sent_ms(echo);
         let newest_at_ms = sent_ms.map(|it| it.saturating_sub(heartbeat.list_age_ms));
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let peer = &heartbeat.instance;
         let knows_list = list_sync::hear_mark(log, fleet, peer, heartbeat.list, newest_at_ms);
-        let relays = self.book.is_among_first(now_ms);
+        let relays = self.book.is_top_ranked_in_zone(now_ms);
         self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
         let mut told = heartbeat.limits.iter();
@@ -234,18 +234,18 @@
         sent_ms: u64,
         now_ms: u64,
     ) -> bool {
-        self.store.answered(now_ms);
+        self.store.record_answer(now_ms);
         self.position = Some(read.position);
-        let was_away = self.store.is_away(now_ms);
+        let was_away = self.store.is_unavailable(now_ms);
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let taken = list_sync::take_read(log, fleet, read, was_away, sent_ms, now_ms);
         for change in &taken.changes {
             if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
-                self.book.tell_leaving(id);
+                self.book.announce_leaving(id);
             }
         }
         if taken.is_news {
-            self.book.tell_knowledge();
+            self.book.request_heartbeat();
         }
         taken.is_news
     }
@@ -258,17 +258,17 @@
     }
 
     /// Whom to ask for what is not known here, if anybody is to be asked.
-    pub(super) fn whom_to_ask(&mut self, draw: u64, now_ms: u64) -> Option<Informant> {
-        let informants = self.book.informants(now_ms);
+    pub(super) fn whom_to_ask(&mut self, draw: u64, now_ms: u64) -> Option<SyncSource> {
+        let sync_sources = self.book.sync_sources(now_ms);
         let known = self.known();
         let knowledge = Knowledge {
-            behind_since_ms: self.asking.note_behind(&informants, known, now_ms),
+            behind_since_ms: self.asking.note_behind(&sync_sources, known, now_ms),
             reads_store: self.reads,
             is_fed: self.is_fed(now_ms),
             list_age_ms: self.fleet.age_ms(now_ms),
         };
         let next = self.asking.next(
-            &informants,
+            &sync_sources,
             knowledge,
             known,
             Begun::default(),
--- a/src/relay_server/list_spread_tests/world.rs
+++ b/src/relay_server/list_spread_tests/world.rs
@@ -11,8 +11,8 @@
 use super::super::adapter::FeedRead;
 use super::super::heartbeat::{Echo, Heartbeat};
 use super::super::list_sync::ListUpdate;
-use super::super::peer::{Informant, InstanceRecord};
-use super::super::peer_book::HEARTBEAT_MS;
+use super::super::peer::{InstanceRecord, SyncSource};
+use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
 use super::due::Due;
 use super::instance::{Instance, Process};
 use super::store::{Access, Departure, Store};
@@ -118,7 +118,7 @@
         let own = &mut self.instances[index];
         own.start(&self.records, now_ms, &mut self.rng);
         self.records[index] = own.record.clone();
-        let phase_ms = self.rng.random_range(0..HEARTBEAT_MS);
+        let phase_ms = self.rng.random_range(0..HEARTBEAT_INTERVAL_MS);
         self.push(index, phase_ms, Event::Beat);
         self.push(index, phase_ms, Event::Look);
         self.push(index, phase_ms, Event::Sweep);
@@ -179,7 +179,7 @@
         let stage = RunStage::Begun { after_ms: 60 };
         own.quarantine.run_broke_off(digest, id, stage, now_ms);
         own.quarantine.settle(now_ms, |_, _| Fate::Ended);
-        own.book.tell_knowledge();
+        own.book.request_heartbeat();
         self.send_news(index);
     }
 
@@ -264,7 +264,7 @@
                     self.push(index, 0, Event::TableDue);
                 }
                 self.send(index);
-                self.push(index, HEARTBEAT_MS, Event::Beat);
+                self.push(index, HEARTBEAT_INTERVAL_MS, Event::Beat);
             }
             Event::Heard(from, heartbeat, echo) => {
                 let address = self.records[from].peers;
@@ -279,10 +279,10 @@
             Event::TableEnd(is_answered) => {
                 let store = &mut self.instances[index].store;
                 let pause_ms = if is_answered {
-                    store.answered(now_ms);
+                    store.record_answer(now_ms);
                     0
                 } else {
-                    store.failed(now_ms);
+                    store.record_failure(now_ms);
                     self.retry_ms(index)
                 };
                 self.push(index, pause_ms, Event::TableDue);
@@ -328,7 +328,10 @@
     }
 
     fn retry_ms(&self, index: usize) -> u64 {
-        if self.instances[index].book.is_among_first(self.now_ms) {
+        if self.instances[index]
+            .book
+            .is_top_ranked_in_zone(self.now_ms)
+        {
             RETRY_MS
         } else {
             STEPPED_IN_RETRY_MS
@@ -397,7 +400,7 @@
                 READ_PAUSE_MS
             }
             None => {
-                self.instances[index].store.failed(now_ms);
+                self.instances[index].store.record_failure(now_ms);
                 self.retry_ms(index)
             }
         };
@@ -405,7 +408,7 @@
     }
 
     pub(super) fn send_news(&mut self, index: usize) {
-        if self.instances[index].book.take_has_news() {
+        if self.instances[index].book.take_heartbeat_request() {
             self.send(index);
         }
     }
@@ -450,7 +453,7 @@
         }
     }
 
-    fn ask(&mut self, index: usize, peer: &Informant) {
+    fn ask(&mut self, index: usize, peer: &SyncSource) {
         let now_ms = self.now_ms;
         let name = peer.instance.clone();
         let known = self.instances[index].known().list;
--- a/src/relay_server/mod.rs
+++ b/src/relay_server/mod.rs
@@ -44,16 +44,13 @@
 mod quarantine_rows;
 mod query;
 mod questions;
-mod reading;
-#[cfg(test)]
-mod reading_tests;
 mod records;
 #[cfg(test)]
 mod records_tests;
-mod repeat_loans;
-#[cfg(test)]
-mod repeat_loans_tests;
 mod request;
+mod retry_loans;
+#[cfg(test)]
+mod retry_loans_tests;
 mod room_notice;
 #[cfg(test)]
 mod room_notice_tests;
@@ -66,6 +63,9 @@
 mod snapshot;
 mod start_wait;
 mod store_contact;
+mod store_readers;
+#[cfg(test)]
+mod store_readers_tests;
 mod stream;
 mod stream_answer;
 #[cfg(test)]
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -13,7 +13,7 @@
 use super::list_log::ListLog;
 use super::peer_book::PeerBook;
 use super::settings::RelaySettings;
-use super::store_contact::StoreContact;
+use super::store_contact::StoreHealth;
 use super::uplink::Uplink;
 use super::upstream::Upstreams;
 use crate::clock::boot_ms;
@@ -46,7 +46,7 @@
     /// Orders that peers gave to engines, not yet taken up by the duty of this instance.
     pub(crate) orders_heard: RefCell<Vec<PlaceOrder>>,
     /// Whether the store answers this instance.
-    pub(crate) store: Cell<StoreContact>,
+    pub(crate) store: Cell<StoreHealth>,
     /// Whether this instance reads the store itself.
     pub(crate) reads_store: watch::Sender<bool>,
     /// Whether the instances' records were read once.
@@ -140,8 +140,8 @@
         Availability {
             is_ready: self.is_ready(),
             is_open: self.is_open(),
-            reaches_store: self.reads_store() && self.store.get().answers(),
-            is_fed: self.is_fed(),
+            reaches_store: self.reads_store() && self.store.get().is_answering(),
+            receives_store_updates: self.is_fed(),
         }
     }
 
@@ -153,17 +153,20 @@
     /// Whether what the store has reaches this instance soon.
     pub(crate) fn is_fed(&self) -> bool {
         if self.reads_store() {
-            self.store.get().answers()
+            self.store.get().is_answering()
         } else {
-            self.peers.borrow().is_fed_by_zone(boot_ms())
+            self.peers.borrow().zone_has_store_reader(boot_ms())
         }
     }
 
     /// Decides anew whether this instance reads the store.
     pub(crate) fn look_at_reading(&self, now_ms: u64) {
         let reads = self.reads_store();
-        let answered_ms = self.store.get().answered_ms();
-        let view = self.peers.borrow().reading_view(reads, answered_ms, now_ms);
+        let answered_ms = self.store.get().last_answer_ms();
+        let view = self
+            .peers
+            .borrow()
+            .store_reader_view(reads, answered_ms, now_ms);
         let waits = !self.are_records_known.get() && view.awaits_records(now_ms);
         let should_read = view.should_read(now_ms) && !waits;
         if should_read == reads {
@@ -171,8 +174,8 @@
         }
         let newest_answer_age_ms = view.answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms));
         log::info!(
-            place = view.place,
-            answered_before = view.answered_before,
+            place = view.rank,
+            answered_before = view.answered_ahead,
             newest_answer_age_ms;
             "{}", if should_read { "instance reads the store" } else { "instance is told by others of its zone" }
         );
@@ -186,7 +189,7 @@
 
     /// Has peers told at once what this instance has read.
     pub(crate) fn tell_knowledge(&self) {
-        self.peers.borrow_mut().tell_knowledge();
+        self.peers.borrow_mut().request_heartbeat();
         self.heartbeat_due.notify_one();
     }
 
@@ -265,7 +268,7 @@
     /// What decides when a refused request should be asked for again.
     pub(crate) fn outlook(&self, load_ms: u64, run_ms: u64) -> Outlook {
         Outlook {
-            others_serve: self.peers.borrow().others_serve(boot_ms()),
+            others_serve: self.peers.borrow().has_ready_peer(boot_ms()),
             load_ms,
             run_ms,
             draw: self.draw(),
@@ -352,7 +355,7 @@
     /// them.
     pub(crate) fn moving(&self, order: &PlaceOrder) {
         self.heard_moving(order);
-        self.peers.borrow_mut().tell_moving(order);
+        self.peers.borrow_mut().announce_layer_move(order);
         self.wake_streams();
     }
 
@@ -396,7 +399,7 @@
             self.upstreams.discard(known.listed.address);
         }
         self.wake_streams();
-        self.peers.borrow_mut().tell_unsound(endpoint);
+        self.peers.borrow_mut().announce_unhealthy(endpoint);
     }
 
     /// The engine that a peer says is unsound, as a stage to be checked: the peer may be cut off
@@ -415,7 +418,7 @@
         let mut peers = self.peers.borrow_mut();
         for change in changes {
             if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
-                peers.tell_leaving(id);
+                peers.announce_leaving(id);
             }
         }
     }
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -33,7 +33,9 @@
             self.log_pacing(endpoint, *change);
         }
         if changes.contains(&PacingChange::Leaving) {
-            self.peers.borrow_mut().tell_said_leaving(endpoint);
+            self.peers
+                .borrow_mut()
+                .announce_self_reported_leaving(endpoint);
             self.heartbeat_due.notify_one();
         }
         self.share_limits(now_ms);
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -7,8 +7,8 @@
 
 use super::heartbeat::{Availability, Echo, Heartbeat};
 use super::list_log::ListMark;
-use super::reading::STALE_MS;
 use super::snapshot::Known;
+use super::store_readers::STALE_MS;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
 use crate::relay::RepeatAmount;
@@ -60,7 +60,7 @@
     /// Instances that it knows of.
     pub(super) known_instances: u32,
     /// Repeats that it lacks, until they were answered.
-    pub(super) repeat_needs: Vec<RepeatAmount>,
+    pub(super) retry_needs: Vec<RepeatAmount>,
     pub(super) held: Vec<(EndpointId, EngineLoad)>,
     /// Whether `held` is in the sums that were handed out last.
     pub(super) is_counted: bool,
@@ -68,7 +68,7 @@
 
 /// A peer that may know what the store does not tell here.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Informant {
+pub(crate) struct SyncSource {
     /// Its name.
     pub(crate) instance: InstanceId,
     /// Where it is asked.
@@ -82,12 +82,12 @@
     /// Whether the store answers it.
     pub(crate) reaches_store: bool,
     /// Whether it is in the own zone.
-    pub(crate) is_near: bool,
+    pub(crate) is_same_zone: bool,
 }
 
-impl Informant {
+impl SyncSource {
     /// Whether it knows what one that knows so far does not.
-    pub(super) fn knows_more(&self, known: Known) -> bool {
+    pub(super) fn is_ahead_of(&self, known: Known) -> bool {
         self.table > known.table || self.list.changed > known.list
     }
 }
@@ -120,7 +120,7 @@
             sent_ms: 0,
             newest_sent_ms: 0,
             known_instances: 0,
-            repeat_needs: Vec::new(),
+            retry_needs: Vec::new(),
             held: Vec::new(),
             is_counted: false,
         }
@@ -145,7 +145,7 @@
             sent_ms: heartbeat.sent_ms,
             newest_sent_ms: heartbeat.sent_ms,
             known_instances: heartbeat.known_instances,
-            repeat_needs: heartbeat.repeat_needs.clone(),
+            retry_needs: heartbeat.retry_needs.clone(),
             held: heartbeat.held.clone(),
             is_counted: true,
         }
--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -8,20 +8,20 @@
 use super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::load_change::{LoadChange, load_changes};
 use super::locate::{self, Candidate};
-use super::peer::{Informant, InstanceRecord, Peer, Recipient};
-use super::reading::{FIRST_OF_ZONE, ReadingView};
+use super::peer::{InstanceRecord, Peer, Recipient, SyncSource};
 use super::senders::Sender;
 use super::settings::RelaySettings;
+use super::store_readers::{READERS_PER_ZONE, StoreReaderView};
+use crate::dissemination::{Rotation, UpdateQueue};
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::lease::LeaseHolder;
 use crate::placement::PlaceOrder;
 use crate::relay::Lender;
-use crate::telling::{News, Rotation};
 use crate::wire::engine::LayerRange;
 
 /// Pause between two heartbeats.
-pub(super) const HEARTBEAT_MS: u64 = 250;
+pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 250;
 /// Silence after which a peer is forgotten.
 const FORGET_MS: u64 = 60_000;
 /// Silence after which the holder of a lease is taken for ended: four heartbeats. It costs nothing but a
@@ -43,13 +43,24 @@
 
 /// Whether the holder of a lease has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum HolderEnd {
+pub(crate) enum HolderStatus {
     /// It gives no more orders.
-    Surely,
+    Ended,
     /// It seems so; orders that it gives after all must be turned away by the engines.
-    Perhaps,
+    PresumedEnded,
     /// It may be at work.
-    No,
+    Active,
+}
+
+impl HolderStatus {
+    /// The status as log lines print it.
+    pub(crate) fn log_value(self) -> &'static str {
+        match self {
+            Self::Ended => "Surely",
+            Self::PresumedEnded => "Perhaps",
+            Self::Active => "No",
+        }
+    }
 }
 
 /// Which loads of this instance those of another zone are told of.
@@ -72,9 +83,9 @@
     own_instance: InstanceId,
     own_incarnation: Incarnation,
     peers: IndexMap<InstanceId, Peer>,
-    unsound: News<EndpointId>,
-    leaving: News<EndpointId>,
-    said_leaving: News<EndpointId>,
+    unhealthy: UpdateQueue<EndpointId>,
+    leaving: UpdateQueue<EndpointId>,
+    said_leaving: UpdateQueue<EndpointId>,
     moving: Vec<(EndpointId, LayerRange)>,
     /// Highest fencing number under which this instance gives no more orders.
     given_up: IndexMap<ServiceName, u64>,
@@ -96,9 +107,9 @@
             own_instance: settings.instance.clone(),
             own_incarnation: incarnation,
             peers: IndexMap::new(),
-            unsound: News::default(),
-            leaving: News::default(),
-            said_leaving: News::default(),
+            unhealthy: UpdateQueue::default(),
+            leaving: UpdateQueue::default(),
+            said_leaving: UpdateQueue::default(),
             moving: Vec::new(),
             given_up: IndexMap::new(),
             given_up_by_peers: IndexMap::new(),
@@ -109,7 +120,7 @@
     }
 
     /// Takes a peer's record from the store; what the peer tells by itself goes before it.
-    pub(super) fn learn(&mut self, record: InstanceRecord, now_ms: u64) {
+    pub(super) fn add_record(&mut self, record: InstanceRecord, now_ms: u64) {
         if record.instance == self.own_instance {
             return;
         }
@@ -122,7 +133,7 @@
         let in_turn = self.far_in_turn(own, now_ms);
         let is_near = |peer: &&Peer| peer.zone == self.own_zone;
         let (near, far): (Vec<&Peer>, Vec<&Peer>) = self.peers.values().partition(is_near);
-        let turn = self.far_turn.next(&far, in_turn);
+        let turn = self.far_turn.next_batch(&far, in_turn);
         near.iter()
             .chain(turn)
             .map(|peer| peer.as_recipient(self.silent_after_ms(peer), now_ms))
@@ -133,9 +144,9 @@
     /// time, so that its end is noticed within a second.
     fn far_in_turn(&self, own: Availability, now_ms: u64) -> usize {
         let far = self.far_count();
-        let in_turn = if own.may_lead() && self.is_first(now_ms) {
+        let in_turn = if own.may_lead() && self.is_preferred_leader(now_ms) {
             far
-        } else if own.reaches_store || self.is_among_first(now_ms) {
+        } else if own.reaches_store || self.is_top_ranked_in_zone(now_ms) {
             far.div_ceil(SPEAKERS_TURN).max(FAR_IN_TURN)
         } else {
             FAR_IN_TURN
@@ -160,12 +171,12 @@
     fn turn_ms(&self, own: Availability, now_ms: u64) -> u32 {
         let in_turn = self.far_in_turn(own, now_ms).max(1);
         let periods = self.far_count().div_ceil(in_turn).max(1) as u64;
-        u32::try_from(periods * HEARTBEAT_MS).unwrap_or(u32::MAX)
+        u32::try_from(periods * HEARTBEAT_INTERVAL_MS).unwrap_or(u32::MAX)
     }
 
     /// Whether this instance is one of the first of its zone: those with the fastest links.
-    pub(super) fn is_among_first(&self, now_ms: u64) -> bool {
-        self.before(now_ms).count() < FIRST_OF_ZONE
+    pub(super) fn is_top_ranked_in_zone(&self, now_ms: u64) -> bool {
+        self.before(now_ms).count() < READERS_PER_ZONE
     }
 
     /// Instances of the zone that come before this one. One that was never heard counts for as long as
@@ -250,26 +261,26 @@
 
     /// What decides whether this instance reads the store. `own_answered_ms` is when the store last
     /// answered here.
-    pub(super) fn reading_view(
+    pub(super) fn store_reader_view(
         &self,
-        reads: bool,
+        is_reader: bool,
         own_answered_ms: Option<u64>,
         now_ms: u64,
-    ) -> ReadingView {
+    ) -> StoreReaderView {
         let in_zone = self.peers.values().filter(|it| it.zone == self.own_zone);
         let answers = in_zone.filter_map(|peer| peer.store_answered_ms);
         let is_answered = |peer: &&Peer| peer.is_answered(now_ms);
-        ReadingView {
-            place: self.before(now_ms).count(),
-            answered_before: self.before(now_ms).filter(is_answered).count(),
+        StoreReaderView {
+            rank: self.before(now_ms).count(),
+            answered_ahead: self.before(now_ms).filter(is_answered).count(),
             answered_ms: answers.chain(own_answered_ms).max(),
             started_ms: self.listening_since_ms,
-            reads,
+            is_reader,
         }
     }
 
     /// Whether an instance of the zone that reads the store was lately answered.
-    pub(super) fn is_fed_by_zone(&self, now_ms: u64) -> bool {
+    pub(super) fn zone_has_store_reader(&self, now_ms: u64) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| peer.zone == self.own_zone && peer.is_answered(now_ms))
     }
@@ -277,7 +288,7 @@
     /// Whether this instance, which can give orders, comes first among those that can: they are ready,
     /// and the store, which keeps the lease, answers them. All of them speak for their zone, so that
     /// their end is soon noticed everywhere.
-    pub(crate) fn is_first(&self, now_ms: u64) -> bool {
+    pub(crate) fn is_preferred_leader(&self, now_ms: u64) -> bool {
         let own = (Reverse(self.own_link_mbps), &self.own_instance);
         self.peers.iter().all(|(name, peer)| {
             !peer.availability.may_lead() || !self.is_heard(peer, now_ms) || peer.rank(name) > own
@@ -286,19 +297,19 @@
 
     /// Peers to ask for what the store does not tell here, the one with the freshest table first.
     /// Those that the store answers go before others.
-    pub(crate) fn informants(&self, now_ms: u64) -> Vec<Informant> {
-        let mut heard: Vec<Informant> = self
+    pub(crate) fn sync_sources(&self, now_ms: u64) -> Vec<SyncSource> {
+        let mut heard: Vec<SyncSource> = self
             .peers
             .iter()
             .filter(|(_, peer)| self.is_heard(peer, now_ms) && peer.availability.is_open)
-            .map(|(name, peer)| Informant {
+            .map(|(name, peer)| SyncSource {
                 instance: name.clone(),
                 address: peer.address,
                 table: peer.table,
                 list: peer.list,
                 link_mbps: peer.link_mbps,
                 reaches_store: peer.availability.reaches_store,
-                is_near: peer.zone == self.own_zone,
+                is_same_zone: peer.zone == self.own_zone,
             })
             .collect();
         heard.sort_by_key(|it| Reverse((it.reaches_store, it.table)));
@@ -306,7 +317,7 @@
     }
 
     /// Whether another instance serves everybody.
-    pub(crate) fn others_serve(&self, now_ms: u64) -> bool {
+    pub(crate) fn has_ready_peer(&self, now_ms: u64) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| peer.availability.is_ready && self.is_heard(peer, now_ms))
     }
@@ -335,67 +346,67 @@
     }
 
     /// Has peers told that an endpoint does not answer.
-    pub(crate) fn tell_unsound(&mut self, endpoint: &EndpointId) {
-        self.unsound.tell(endpoint);
+    pub(crate) fn announce_unhealthy(&mut self, endpoint: &EndpointId) {
+        self.unhealthy.push(endpoint);
         self.has_news = true;
     }
 
     /// Has peers told that an endpoint is leaving.
-    pub(crate) fn tell_leaving(&mut self, endpoint: &EndpointId) {
-        self.leaving.tell(endpoint);
+    pub(crate) fn announce_leaving(&mut self, endpoint: &EndpointId) {
+        self.leaving.push(endpoint);
         self.has_news = true;
     }
 
     /// Has peers told that an endpoint has itself said that it leaves.
-    pub(crate) fn tell_said_leaving(&mut self, endpoint: &EndpointId) {
-        self.said_leaving.tell(endpoint);
+    pub(crate) fn announce_self_reported_leaving(&mut self, endpoint: &EndpointId) {
+        self.said_leaving.push(endpoint);
         self.has_news = true;
     }
 
     /// Has peers told at once what is known here of routes and endpoints.
-    pub(crate) fn tell_knowledge(&mut self) {
+    pub(crate) fn request_heartbeat(&mut self) {
         self.has_news = true;
     }
 
     /// Has peers told that an engine is about to hold other layers.
-    pub(crate) fn tell_moving(&mut self, order: &PlaceOrder) {
+    pub(crate) fn announce_layer_move(&mut self, order: &PlaceOrder) {
         self.moving.push((order.endpoint.clone(), order.layers));
         self.has_news = true;
     }
 
     /// Has peers told that this instance gives no more orders under this fencing number.
-    pub(crate) fn tell_given_up(&mut self, service: &ServiceName, fence: u64) {
+    pub(crate) fn announce_lease_release(&mut self, service: &ServiceName, fence: u64) {
         self.given_up.insert(service.clone(), fence);
         self.has_news = true;
     }
 
     /// Whether the holder of a lease gives no more orders under it: it says so, another process runs
     /// in its place, or nothing has been heard of it for some heartbeats. The last may be wrong.
-    pub(crate) fn has_ended(
+    pub(crate) fn lease_holder_status(
         &self,
         service: &ServiceName,
         holder: &LeaseHolder,
         now_ms: u64,
-    ) -> HolderEnd {
+    ) -> HolderStatus {
         let given_up = self.given_up_by_peers.get(service);
         if given_up.is_some_and(|fence| *fence >= holder.fence) {
-            return HolderEnd::Surely;
+            return HolderStatus::Ended;
         }
         let peer = self.peers.get(&holder.instance);
         let heard_ms = peer.and_then(|peer| peer.heard_ms);
         let is_replaced = peer.is_some_and(|peer| peer.incarnation != holder.incarnation);
         if is_replaced && heard_ms.is_some() {
-            return HolderEnd::Surely;
+            return HolderStatus::Ended;
         }
         let heard_ms = heard_ms.unwrap_or(0).max(self.listening_since_ms);
         if now_ms >= heard_ms + HOLDER_SILENT_MS && !holder.has_renewed {
-            return HolderEnd::Perhaps;
+            return HolderStatus::PresumedEnded;
         }
-        HolderEnd::No
+        HolderStatus::Active
     }
 
     /// Takes a peer's heartbeat. Returns how loads have changed by it.
-    pub(super) fn hear(
+    pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         address: SocketAddr,
@@ -422,7 +433,7 @@
         load_changes(before.unwrap_or_default(), &heartbeat.held)
     }
 
-    /// What peers' streams take up at each engine. Changes that [`Self::hear`] returns from now
+    /// What peers' streams take up at each engine. Changes that [`Self::apply_heartbeat`] returns from now
     /// on are changes of these sums.
     pub(super) fn held_by_peers(&mut self, now_ms: u64) -> IndexMap<EndpointId, EngineLoad> {
         let mut sums = IndexMap::new();
@@ -441,7 +452,7 @@
     }
 
     /// Whether something must be told at once; asks once for each piece of news.
-    pub(super) fn take_has_news(&mut self) -> bool {
+    pub(super) fn take_heartbeat_request(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
@@ -462,9 +473,9 @@
             list_age_ms: own.list_age_ms,
             store_age_ms: own.store_age_ms,
             sent_ms: now_ms,
-            unsound: self.unsound.next(MOST_NEWS),
-            leaving: self.leaving.next(MOST_NEWS),
-            said_leaving: self.said_leaving.next(MOST_NEWS),
+            unhealthy: self.unhealthy.next_batch(MOST_NEWS),
+            leaving: self.leaving.next_batch(MOST_NEWS),
+            said_leaving: self.said_leaving.next_batch(MOST_NEWS),
             moving: self
                 .moving
                 .drain(..self.moving.len().min(MOST_NEWS))
@@ -474,7 +485,7 @@
                 .collect(),
             given_up: self.given_up.clone().into_iter().collect(),
             known_instances: self.own_known_instances(),
-            repeat_needs: own.repeat_needs.clone(),
+            retry_needs: own.retry_needs.clone(),
             evidence: own.evidence.clone(),
             limits: own.limits.clone(),
         }
@@ -482,13 +493,13 @@
 
     /// When the newest heartbeat of this process that a peer has heard was sent. One of an earlier
     /// process of this instance does not count: its clock may have been another.
-    pub(super) fn own_sending_heard(&self, echo: Option<Echo>) -> Option<u64> {
+    pub(super) fn acknowledged_sent_ms(&self, echo: Option<Echo>) -> Option<u64> {
         let own = echo.filter(|it| it.incarnation == self.own_incarnation);
         own.map(|it| it.sent_ms)
     }
 
     /// Forgets peers that have long been silent.
-    pub(super) fn forget_silent(&mut self, now_ms: u64) {
+    pub(super) fn remove_expired(&mut self, now_ms: u64) {
         self.peers
             .retain(|_, peer| now_ms < peer.last_sign_ms() + FORGET_MS);
     }
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -8,7 +8,7 @@
 };
 use super::list_log::ListMark;
 use super::peer::{InstanceRecord, Recipient};
-use super::peer_book::{HolderEnd, PeerBook};
+use super::peer_book::{HolderStatus, PeerBook};
 use super::test_settings::settings;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
@@ -19,27 +19,27 @@
     is_ready: true,
     is_open: true,
     reaches_store: true,
-    is_fed: true,
+    receives_store_updates: true,
 };
 const OPEN: Availability = Availability {
     is_ready: false,
     is_open: true,
     reaches_store: true,
-    is_fed: true,
+    receives_store_updates: true,
 };
 /// Ready, but the store does not answer it.
 const CUT_OFF: Availability = Availability {
     is_ready: true,
     is_open: true,
     reaches_store: false,
-    is_fed: false,
+    receives_store_updates: false,
 };
 /// Ready, and told by another of its zone what the store has.
 const TOLD: Availability = Availability {
     is_ready: true,
     is_open: true,
     reaches_store: false,
-    is_fed: true,
+    receives_store_updates: true,
 };
 
 pub(super) fn address(port: u16) -> SocketAddr {
@@ -61,7 +61,7 @@
         list_age_ms: 100,
         store_age_ms: availability.reaches_store.then_some(100),
         held: Vec::new(),
-        repeat_needs: Vec::new(),
+        retry_needs: Vec::new(),
         evidence: ToldEvidence::default(),
         limits: Vec::new(),
     };
@@ -92,7 +92,7 @@
     let others = [("b", "lac", 2_000, b), ("c", "marsa", 3_000, c)];
     for (name, zone, port, (availability, at_ms)) in others {
         let beat = heartbeat(&mut book(name, zone, port), availability, at_ms);
-        a.hear(&beat, address(port + 1), at_ms);
+        a.apply_heartbeat(&beat, address(port + 1), at_ms);
     }
     a
 }
@@ -129,27 +129,27 @@
 #[test]
 fn the_first_ready_instance_by_name_has_the_duty() {
     let a = heard((READY, 500), (READY, 500));
-    assert!(a.is_first(600));
+    assert!(a.is_preferred_leader(600));
     let mut b = book("b", "lac", 2_000);
-    b.hear(
+    b.apply_heartbeat(
         &heartbeat(&mut book("a", "lac", 1_000), READY, 500),
         address(1_001),
         500,
     );
-    assert!(!b.is_first(600));
-    assert!(b.is_first(2_000), "the other has fallen silent");
+    assert!(!b.is_preferred_leader(600));
+    assert!(b.is_preferred_leader(2_000), "the other has fallen silent");
 }
 
 #[test]
 fn a_heartbeat_names_what_was_heard_of_this_process_only() {
     let mut a = book("a", "lac", 1_000);
     let mut b = book("b", "lac", 2_000);
-    b.hear(&heartbeat(&mut a, READY, 400), address(1_001), 450);
+    b.apply_heartbeat(&heartbeat(&mut a, READY, 400), address(1_001), 450);
     let recipients = b.recipients(READY, 500);
     let echo = recipients[0].echo;
-    assert_eq!(a.own_sending_heard(echo), Some(400));
+    assert_eq!(a.acknowledged_sent_ms(echo), Some(400));
     let restarted = book("a", "lac", 1_000);
-    assert_eq!(restarted.own_sending_heard(echo), None);
+    assert_eq!(restarted.acknowledged_sent_ms(echo), None);
     let late = b.recipients(READY, 1_300);
     assert_eq!(late[0].echo, None, "the other has fallen silent");
 }
@@ -157,9 +157,9 @@
 #[test]
 fn news_are_told_a_few_times() {
     let mut a = book("a", "lac", 1_000);
-    a.tell_leaving(&EndpointId::from("e"));
-    assert!(a.take_has_news());
-    assert!(!a.take_has_news());
+    a.announce_leaving(&EndpointId::from("e"));
+    assert!(a.take_heartbeat_request());
+    assert!(!a.take_heartbeat_request());
     let told = (0..10).filter(|_| !heartbeat(&mut a, READY, 0).leaving.is_empty());
     assert_eq!(told.count(), 4);
 }
@@ -168,10 +168,10 @@
 fn every_instance_on_record_shares_the_budget() {
     let mut a = book("a", "lac", 1_000);
     assert_eq!(a.known_instances(), 1);
-    a.learn(record("d", "marsa", 4_000), 0);
+    a.add_record(record("d", "marsa", 4_000), 0);
     assert_eq!(a.known_instances(), 2);
-    a.forget_silent(1_000);
-    a.forget_silent(70_000);
+    a.remove_expired(1_000);
+    a.remove_expired(70_000);
     assert_eq!(a.known_instances(), 1);
 }
 
@@ -180,7 +180,7 @@
     let mut a = book("front-lac-1", "lac", 1_000);
     for number in 0..6 {
         let mut other = book(&format!("front-lac-{number}"), "lac", 2_000 + 2 * number);
-        a.hear(
+        a.apply_heartbeat(
             &heartbeat(&mut other, READY, 500_000),
             address(2_001 + 2 * number),
             500_000,
@@ -202,7 +202,7 @@
         list_age_ms: 1_300,
         store_age_ms: Some(700),
         held: engines.collect(),
-        repeat_needs: Vec::new(),
+        retry_needs: Vec::new(),
         evidence: ToldEvidence::default(),
         limits: Vec::new(),
     };
@@ -228,9 +228,12 @@
     let heard_at = |availability| heard((availability, 500), (READY, 500));
     let mut b = book("b", "lac", 2_000);
     let own = heartbeat(&mut book("a", "lac", 1_000), CUT_OFF, 500);
-    b.hear(&own, address(1_001), 500);
-    assert!(b.is_first(600), "the one before it cannot take the lease");
-    assert!(heard_at(READY).is_first(600));
+    b.apply_heartbeat(&own, address(1_001), 500);
+    assert!(
+        b.is_preferred_leader(600),
+        "the one before it cannot take the lease"
+    );
+    assert!(heard_at(READY).is_preferred_leader(600));
 }
 
 #[test]
@@ -255,29 +258,47 @@
         has_renewed: false,
     };
     let mut a = book("a", "lac", 1_000);
-    a.hear(&beat, address(2_001), 500);
-    assert_eq!(a.has_ended(&service, &holder, 1_400), HolderEnd::No);
-    assert_eq!(a.has_ended(&service, &holder, 1_500), HolderEnd::Perhaps);
+    a.apply_heartbeat(&beat, address(2_001), 500);
+    assert_eq!(
+        a.lease_holder_status(&service, &holder, 1_400),
+        HolderStatus::Active
+    );
+    assert_eq!(
+        a.lease_holder_status(&service, &holder, 1_500),
+        HolderStatus::PresumedEnded
+    );
     let renewed = LeaseHolder {
         has_renewed: true,
         ..holder.clone()
     };
-    assert_eq!(a.has_ended(&service, &renewed, 1_500), HolderEnd::No);
-    b.tell_given_up(&service, 4);
-    a.hear(&heartbeat(&mut b, READY, 600), address(2_001), 600);
-    assert_eq!(a.has_ended(&service, &holder, 700), HolderEnd::Surely);
+    assert_eq!(
+        a.lease_holder_status(&service, &renewed, 1_500),
+        HolderStatus::Active
+    );
+    b.announce_lease_release(&service, 4);
+    a.apply_heartbeat(&heartbeat(&mut b, READY, 600), address(2_001), 600);
+    assert_eq!(
+        a.lease_holder_status(&service, &holder, 700),
+        HolderStatus::Ended
+    );
     let next = LeaseHolder { fence: 5, ..holder };
-    assert_eq!(a.has_ended(&service, &next, 700), HolderEnd::No);
+    assert_eq!(
+        a.lease_holder_status(&service, &next, 700),
+        HolderStatus::Active
+    );
     let again = heartbeat(&mut book("b", "lac", 2_000), READY, 800);
-    a.hear(&again, address(2_001), 800);
-    assert_eq!(a.has_ended(&service, &next, 900), HolderEnd::Surely);
+    a.apply_heartbeat(&again, address(2_001), 800);
+    assert_eq!(
+        a.lease_holder_status(&service, &next, 900),
+        HolderStatus::Ended
+    );
 }
 
 #[test]
 fn an_old_record_of_the_holders_instance_says_nothing_of_its_end() {
     let mut a = book("a", "lac", 1_000);
-    a.learn(record("b", "lac", 2_000), 0);
-    a.forget_silent(250);
+    a.add_record(record("b", "lac", 2_000), 0);
+    a.remove_expired(250);
     let holder = LeaseHolder {
         instance: InstanceId::from("b"),
         incarnation: Incarnation::draw(&mut rand::rng()),
@@ -285,15 +306,18 @@
         has_renewed: false,
     };
     let service = ServiceName::from("menu-mind");
-    assert_eq!(a.has_ended(&service, &holder, 500), HolderEnd::No);
+    assert_eq!(
+        a.lease_holder_status(&service, &holder, 500),
+        HolderStatus::Active
+    );
 }
 
 #[test]
 fn peers_that_the_store_answers_are_asked_first() {
     let a = heard((CUT_OFF, 500), (OPEN, 500));
-    let order: Vec<SocketAddr> = a.informants(600).iter().map(|it| it.address).collect();
+    let order: Vec<SocketAddr> = a.sync_sources(600).iter().map(|it| it.address).collect();
     assert_eq!(order, [address(3_001), address(2_001)]);
-    assert!(a.informants(5_000).is_empty(), "they have fallen silent");
+    assert!(a.sync_sources(5_000).is_empty(), "they have fallen silent");
 }
 
 /// A book of `front-0-0` in a fleet of this many instances, spread over five zones, all of them heard.
@@ -307,7 +331,7 @@
         let mut beat = heartbeat(&mut other, READY, now_ms);
         // The first of each zone tell everybody within two periods.
         beat.turn_ms = if number < 15 { 500 } else { 5_000 };
-        own.hear(&beat, address(port + 1), now_ms);
+        own.apply_heartbeat(&beat, address(port + 1), now_ms);
     }
     own
 }
@@ -320,9 +344,9 @@
         let mut other = self::book(&format!("fast-{number}"), "zone-0", 900 + 2 * number);
         let mut beat = heartbeat(&mut other, READY, 500);
         beat.link_mbps = 1_000;
-        book.hear(&beat, address(901 + 2 * number), 500);
+        book.apply_heartbeat(&beat, address(901 + 2 * number), 500);
     }
-    assert!(!book.is_among_first(600));
+    assert!(!book.is_top_ranked_in_zone(600));
     assert_eq!(heartbeat(&mut book, TOLD, 600).turn_ms, 5_000);
     let turn_ms = heartbeat(&mut book, READY, 600).turn_ms;
     assert_eq!(turn_ms, 500, "the store answers it");
@@ -344,7 +368,7 @@
 fn the_one_that_gives_the_orders_tells_everybody_each_time() {
     let mut book = large_fleet(195, 500);
     assert!(
-        book.is_first(600),
+        book.is_preferred_leader(600),
         "its link is no slower and its name is the first"
     );
     assert_eq!(book.recipients(READY, 600).len(), 194);
@@ -356,7 +380,7 @@
     );
     let mut small = large_fleet(9, 500);
     let beat = heartbeat(&mut self::book("a", "zone-0", 100), READY, 500);
-    small.hear(&beat, address(101), 500);
+    small.apply_heartbeat(&beat, address(101), 500);
     assert_eq!(
         small.recipients(TOLD, 600).len(),
         9,
@@ -370,7 +394,7 @@
     let mut rare = self::book("rare", "zone-1", 900);
     let mut beat = heartbeat(&mut rare, READY, 500);
     beat.turn_ms = 5_000;
-    book.hear(&beat, address(901), 500);
+    book.apply_heartbeat(&beat, address(901), 500);
     let named = |book: &PeerBook, now_ms| {
         let zone = ZoneName::from("zone-1");
         let addresses = book.addresses_for(&zone, READY, now_ms);
@@ -429,36 +453,36 @@
 #[test]
 fn the_first_of_a_zone_read_the_store_and_the_others_are_told() {
     let book = large_fleet(195, 500);
-    let view = book.reading_view(false, None, 600);
-    assert_eq!((view.place, view.answered_before), (0, 0));
+    let view = book.store_reader_view(false, None, 600);
+    assert_eq!((view.rank, view.answered_ahead), (0, 0));
     assert!(view.should_read(600));
     let mut last = self::book("z", "zone-0", 900);
     for number in 0..38 {
         let port = 2_000 + 2 * number;
         let mut other = self::book(&format!("f{number:02}"), "zone-0", port);
         let availability = if number < 3 { READY } else { TOLD };
-        last.hear(
+        last.apply_heartbeat(
             &heartbeat(&mut other, availability, 500),
             address(port + 1),
             500,
         );
     }
-    let view = last.reading_view(false, None, 600);
-    assert_eq!((view.place, view.answered_before), (38, 3));
+    let view = last.store_reader_view(false, None, 600);
+    assert_eq!((view.rank, view.answered_ahead), (38, 3));
     assert_eq!(view.answered_ms, Some(400));
     assert!(!view.should_read(600));
-    assert!(last.is_fed_by_zone(600));
-    assert!(!last.is_fed_by_zone(5_000));
+    assert!(last.zone_has_store_reader(600));
+    assert!(!last.zone_has_store_reader(5_000));
 }
 
 #[test]
 fn an_unheard_instance_on_record_comes_before_while_it_may_be_starting() {
     let mut b = book("b", "lac", 1_000);
-    b.learn(record("a", "lac", 2_000), 0);
-    b.learn(record("c", "lac", 3_000), 0);
-    b.forget_silent(250);
-    assert_eq!(b.reading_view(false, None, 900).place, 1);
-    assert_eq!(b.reading_view(false, None, 1_100).place, 0);
+    b.add_record(record("a", "lac", 2_000), 0);
+    b.add_record(record("c", "lac", 3_000), 0);
+    b.remove_expired(250);
+    assert_eq!(b.store_reader_view(false, None, 900).rank, 1);
+    assert_eq!(b.store_reader_view(false, None, 1_100).rank, 0);
 }
 
 proptest! {
@@ -477,7 +501,7 @@
                 .map(|(engine, amount)| (EndpointId::from(format!("e{engine}")), tokens(amount)))
                 .collect();
             beat.held = held.into_iter().collect();
-            for change in book.hear(&beat, address(port + 1), 100) {
+            for change in book.apply_heartbeat(&beat, address(port + 1), 100) {
                 let sum = kept.entry(change.endpoint).or_default();
                 *sum = sum.minus(change.before).plus(change.now);
             }
@@ -498,8 +522,8 @@
         length in any::<prop::sample::Index>(),
     ) {
         let mut sender = book("b", "lac", 10);
-        sender.tell_leaving(&EndpointId::from("e"));
-        sender.tell_given_up(&ServiceName::from("model"), 7);
+        sender.announce_leaving(&EndpointId::from("e"));
+        sender.announce_lease_release(&ServiceName::from("model"), 7);
         let mut sent = heartbeat(&mut sender, READY, 100);
         sent.held = vec![(EndpointId::from("e"), tokens(u64::MAX)), (EndpointId::from("f"), tokens(3))];
         let shared = heartbeat_bytes(&sent).expect("it can be written");
@@ -513,20 +537,20 @@
             return Ok(());
         };
         let mut reader = book("a", "lac", 20);
-        reader.hear(&read, address(11), 200);
-        reader.hear(&read, address(12), 300);
+        reader.apply_heartbeat(&read, address(11), 200);
+        reader.apply_heartbeat(&read, address(12), 300);
         let holder = LeaseHolder {
             instance: InstanceId::from("b"),
             incarnation: read.incarnation,
             fence: 3,
             has_renewed: false,
         };
-        reader.has_ended(&ServiceName::from("model"), &holder, 2_000);
+        reader.lease_holder_status(&ServiceName::from("model"), &holder, 2_000);
         reader.held_by_peers(400);
-        reader.informants(400);
-        reader.own_sending_heard(answer.echo);
+        reader.sync_sources(400);
+        reader.acknowledged_sent_ms(answer.echo);
         reader.recipients(READY, 400);
         reader.addresses_for(&ZoneName::from("lac"), READY, 400);
-        reader.forget_silent(500);
+        reader.remove_expired(500);
     }
 }
--- a/src/relay_server/peer_news_tests.rs
+++ b/src/relay_server/peer_news_tests.rs
@@ -15,12 +15,12 @@
     let endpoint = |number: u32| EndpointId::from(format!("i-{number:010}"));
     let layers = LayerRange { first: 0, end: 12 };
     for number in 0..3_000 {
-        sender.tell_moving(&PlaceOrder {
+        sender.announce_layer_move(&PlaceOrder {
             endpoint: endpoint(number),
             layers,
         });
-        sender.tell_unsound(&endpoint(number));
-        sender.tell_leaving(&endpoint(number));
+        sender.announce_unhealthy(&endpoint(number));
+        sender.announce_leaving(&endpoint(number));
     }
     let mut told = [IndexSet::new(), IndexSet::new(), IndexSet::new()];
     for period in 0..12 {
@@ -28,7 +28,7 @@
         let shared = heartbeat_bytes(&sent).expect("it can be written");
         assert!(shared.len() < 32 << 10, "{}", shared.len());
         told[0].extend(sent.moving.into_iter().map(|(id, _)| id));
-        told[1].extend(sent.unsound);
+        told[1].extend(sent.unhealthy);
         told[2].extend(sent.leaving);
     }
     for told in told {
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -20,8 +20,8 @@
 use super::list_sync;
 use super::node::Node;
 use super::peer::Recipient;
-use super::peer_book::{FarLoads, HEARTBEAT_MS};
-use super::repeat_loans::wants;
+use super::peer_book::{FarLoads, HEARTBEAT_INTERVAL_MS};
+use super::retry_loans::wants;
 use super::room_notice;
 use super::withholding::FROM_PEERS;
 use crate::clock::boot_ms;
@@ -39,7 +39,7 @@
     A: Adapter,
 {
     let mut buffer = vec![0; DATAGRAM_LIMIT_BYTES];
-    let mut ticks = tokio::time::interval(Duration::from_millis(HEARTBEAT_MS));
+    let mut ticks = tokio::time::interval(Duration::from_millis(HEARTBEAT_INTERVAL_MS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
     let mut news = node.news.subscribe();
     loop {
@@ -66,7 +66,7 @@
 where
     A: Adapter,
 {
-    let has_news = node.peers.borrow_mut().take_has_news();
+    let has_news = node.peers.borrow_mut().take_heartbeat_request();
     if has_news {
         send(node, socket).await;
     }
@@ -81,7 +81,7 @@
     let (heartbeat, recipients, loads, wants) = {
         let mut peers = node.peers.borrow_mut();
         let heartbeat = peers.heartbeat(&own, now_ms);
-        peers.forget_silent(now_ms);
+        peers.remove_expired(now_ms);
         let loads = peers.held_by_peers(now_ms);
         let recipients = peers.recipients(own.availability, now_ms);
         (heartbeat, recipients, loads, wants(&mut peers, now_ms))
@@ -167,7 +167,7 @@
         })
         .collect();
     let limits = node.fleet.borrow_mut().pacing.next_told(now_ms);
-    let answered_ms = node.store.get().answered_ms();
+    let answered_ms = node.store.get().last_answer_ms();
     let answered_ms = answered_ms.filter(|_| node.reads_store());
     OwnState {
         availability: node.availability(),
@@ -177,7 +177,7 @@
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
         store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
         held,
-        repeat_needs: node.repeat_needs(now_ms),
+        retry_needs: node.retry_needs(now_ms),
         evidence: node.quarantine.borrow_mut().next_told(now_ms),
         limits,
     }
@@ -200,7 +200,7 @@
         held: held
             .map(|load| (load.endpoint.clone(), load.load))
             .collect(),
-        repeat_needs: Vec::new(),
+        retry_needs: Vec::new(),
         ..heartbeat.clone()
     }
 }
@@ -246,9 +246,9 @@
     let (is_newest, changes) = {
         let mut peers = node.peers.borrow_mut();
         let is_newest = peers.is_newest(&heartbeat);
-        (is_newest, peers.hear(&heartbeat, from, now_ms))
+        (is_newest, peers.apply_heartbeat(&heartbeat, from, now_ms))
     };
-    let own_sent_ms = node.peers.borrow().own_sending_heard(peer_part.echo);
+    let own_sent_ms = node.peers.borrow().acknowledged_sent_ms(peer_part.echo);
     // A time that has not come yet is not of this process, whatever the peer says.
     let own_sent_ms = own_sent_ms.filter(|sent_ms| *sent_ms <= now_ms);
     confirm(node, &heartbeat, own_sent_ms);
@@ -258,7 +258,7 @@
     }
     node.hear_evidence(&heartbeat.evidence, FROM_PEERS, now_ms);
     node.hear_limits(&heartbeat.instance, &heartbeat.limits, now_ms);
-    for id in &heartbeat.unsound {
+    for id in &heartbeat.unhealthy {
         if let Some(stage) = node.told_unsound(id) {
             check_beside(node, &stage);
         }
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -138,7 +138,7 @@
 where
     A: Adapter,
 {
-    let is_first = node.peers.borrow().is_first(boot_ms());
+    let is_first = node.peers.borrow().is_preferred_leader(boot_ms());
     if !is_first || !node.availability().reaches_store {
         return;
     }
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -30,7 +30,7 @@
 const RECORDS_LIMIT: u32 = 500;
 
 /// Makes this instance known, and learns of the others.
-pub(super) async fn follow_records<A>(node: Rc<Node<A>>)
+pub(super) async fn maintain_records<A>(node: Rc<Node<A>>)
 where
     A: Adapter,
 {
@@ -158,7 +158,7 @@
 fn learn_record<A>(node: &Node<A>, row: &Row) -> OwnRecord {
     match serde_json::from_str::<InstanceRecord>(&row.value) {
         Ok(record) if record.incarnation == node.incarnation => return OwnRecord::IsThere,
-        Ok(record) => node.peers.borrow_mut().learn(record, boot_ms()),
+        Ok(record) => node.peers.borrow_mut().add_record(record, boot_ms()),
         Err(error) => {
             log::warn!(key = row.key.as_str(), error:% = error; "record is malformed");
         }
--- a/src/relay_server/repeat_loans.rs
+++ b/src/relay_server/retry_loans.rs
@@ -30,14 +30,14 @@
     let mut heard: usize = 0;
     for peer in peers.near_heard(now_ms) {
         heard += 1;
-        for need in &peer.repeat_needs {
+        for need in &peer.retry_needs {
             let key = (need.service.clone(), need.purpose);
             *askers.entry(key).or_default() += 1;
         }
     }
     let mut wants = Vec::new();
     for peer in peers.near_heard(now_ms) {
-        for need in std::mem::take(&mut peer.repeat_needs) {
+        for need in std::mem::take(&mut peer.retry_needs) {
             let same = askers[&(need.service.clone(), need.purpose)];
             // A peer may name a need twice.
             let lenders = (1 + heard).saturating_sub(same);
@@ -58,7 +58,7 @@
     A: Adapter,
 {
     /// Repeats that this instance lacks.
-    pub(super) fn repeat_needs(&self, now_ms: u64) -> Vec<RepeatAmount> {
+    pub(super) fn retry_needs(&self, now_ms: u64) -> Vec<RepeatAmount> {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         let spare_milli = budget.spare_milli(share, now_ms);
--- a/src/relay_server/repeat_loans_tests.rs
+++ b/src/relay_server/retry_loans_tests.rs
@@ -3,7 +3,7 @@
 use super::heartbeat::{Heartbeat, PeerPart, datagram, heartbeat_bytes, read_datagram};
 use super::peer_book::PeerBook;
 use super::peer_book_tests::{READY, address, book, heartbeat};
-use super::repeat_loans::{Want, wants};
+use super::retry_loans::{Want, wants};
 use crate::ids::ServiceName;
 use crate::relay::{Lender, RepeatAmount, RepeatLoan, RepeatPurpose};
 
@@ -26,8 +26,8 @@
     ];
     for (name, zone, port, lacks) in others {
         let mut beat = heartbeat(&mut book(name, zone, port), READY, 500);
-        beat.repeat_needs = lacks.map(need).into_iter().collect();
-        a.hear(&beat, address(port + 1), 500);
+        beat.retry_needs = lacks.map(need).into_iter().collect();
+        a.apply_heartbeat(&beat, address(port + 1), 500);
     }
     a
 }
@@ -63,9 +63,9 @@
     let mut b = book("b", "lac", 2_000);
     let (first, second) = (heartbeat(&mut b, READY, 500), heartbeat(&mut b, READY, 750));
     assert!(a.is_newest(&second));
-    a.hear(&second, address(2_001), 760);
+    a.apply_heartbeat(&second, address(2_001), 760);
     assert!(!a.is_newest(&second));
-    a.hear(&first, address(2_001), 770);
+    a.apply_heartbeat(&first, address(2_001), 770);
     assert!(!a.is_newest(&second));
     let restarted = heartbeat(&mut book("b", "lac", 2_000), READY, 400);
     assert!(a.is_newest(&restarted));
@@ -76,7 +76,7 @@
 fn a_process_that_has_heard_one_peer_knows_how_many_share_the_budget() {
     let beat = heartbeat(&mut asked(), READY, 600);
     let mut new = book("f", "lac", 6_000);
-    new.hear(&beat, address(1_001), 610);
+    new.apply_heartbeat(&beat, address(1_001), 610);
     assert_eq!(new.known_instances(), 5);
 }
 
@@ -85,14 +85,14 @@
 fn a_loan_goes_back_to_the_process_that_gave_it() {
     let mut a = book("a", "lac", 1_000);
     let beat = heartbeat(&mut book("b", "lac", 2_000), READY, 500);
-    a.hear(&beat, address(2_001), 510);
+    a.apply_heartbeat(&beat, address(2_001), 510);
     let lender = Lender {
         instance: beat.instance,
         incarnation: beat.incarnation,
     };
     assert_eq!(a.address_of(&lender), Some(address(2_001)));
     let restarted = heartbeat(&mut book("b", "lac", 2_000), READY, 600);
-    a.hear(&restarted, address(2_001), 610);
+    a.apply_heartbeat(&restarted, address(2_001), 610);
     assert_eq!(a.address_of(&lender), None);
 }
 
@@ -104,7 +104,7 @@
         datagram(&shared, answer).expect("it can be written").len()
     };
     let without = length(&beat, &PeerPart::default());
-    beat.repeat_needs = vec![need(90_000)];
+    beat.retry_needs = vec![need(90_000)];
     let answer = PeerPart {
         lent: vec![RepeatLoan {
             id: 70,
@@ -121,8 +121,5 @@
     let shared = heartbeat_bytes(&beat).expect("it can be written");
     let bytes = datagram(&shared, &answer).expect("it can be written");
     let (read, read_answer) = read_datagram(&bytes).expect("it was written so");
-    assert_eq!(
-        (read.repeat_needs, read_answer),
-        (beat.repeat_needs, answer)
-    );
+    assert_eq!((read.retry_needs, read_answer), (beat.retry_needs, answer));
 }
--- a/src/relay_server/room_notice.rs
+++ b/src/relay_server/room_notice.rs
@@ -48,7 +48,7 @@
 }
 
 /// Sends notices whenever engines were found full, for as long as the process runs.
-pub(super) async fn tell_full<A>(node: Rc<Node<A>>, socket: Rc<UdpSocket>)
+pub(super) async fn send_full_notices<A>(node: Rc<Node<A>>, socket: Rc<UdpSocket>)
 where
     A: Adapter,
 {
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -119,12 +119,12 @@
     })?;
     let socket = Rc::new(socket);
     actix_rt::spawn(peers::exchange(Rc::clone(node), Rc::clone(&socket)));
-    actix_rt::spawn(room_notice::tell_full(Rc::clone(node), socket));
+    actix_rt::spawn(room_notice::send_full_notices(Rc::clone(node), socket));
     actix_rt::spawn(feeds::follow_table(Rc::clone(node)));
     actix_rt::spawn(feeds::follow_endpoints(Rc::clone(node)));
     actix_rt::spawn(snapshot::follow_peers(Rc::clone(node)));
     actix_rt::spawn(duty::place_layers(Rc::clone(node)));
-    actix_rt::spawn(records::follow_records(Rc::clone(node)));
+    actix_rt::spawn(records::maintain_records(Rc::clone(node)));
     actix_rt::spawn(sweep(Rc::clone(node)));
     Ok(())
 }
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -23,7 +23,7 @@
 use super::list_parts::{ListOffer, ListPartFault, ListParts, ListQuery, ListRest};
 use super::list_sync::{self, ListUpdate};
 use super::node::Node;
-use super::peer::Informant;
+use super::peer::SyncSource;
 use super::query::query_pairs;
 use super::uplink::Admission;
 use crate::clients::{HttpCall, HttpFailure, HttpPeer};
@@ -150,7 +150,7 @@
     };
     let rest = ListRest::new(mark, entries, query);
     Some(match node.uplink.borrow_mut().admit(rest.bytes(), now_ms) {
-        Admission::Given { bytes } => {
+        Admission::Granted { bytes } => {
             node.counters
                 .add("relay.snapshots.list_bytes", bytes as u64);
             ListOffer::Part(rest.part(bytes))
@@ -182,7 +182,7 @@
     let rest = &source.as_bytes()[begin_bytes..];
     let peer = peer.map(|it| it.to_string());
     match node.uplink.borrow_mut().admit(rest.len(), now_ms) {
-        Admission::Given { bytes } => {
+        Admission::Granted { bytes } => {
             let counter = "relay.snapshots.document_bytes";
             node.counters.add(counter, bytes as u64);
             let is_last = bytes == rest.len();
@@ -245,12 +245,12 @@
     A: Adapter,
 {
     let now_ms = boot_ms();
-    let informants = node.peers.borrow().informants(now_ms);
+    let sync_sources = node.peers.borrow().sync_sources(now_ms);
     let known = known_here(node);
     count_wasted(node, parts.document.drop_known(known.table));
-    parts.list.drop_without_giver(&informants, known);
+    parts.list.drop_without_giver(&sync_sources, known);
     let knowledge = Knowledge {
-        behind_since_ms: asking.note_behind(&informants, known, now_ms),
+        behind_since_ms: asking.note_behind(&sync_sources, known, now_ms),
         reads_store: node.reads_store(),
         is_fed: node.is_fed(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
@@ -260,7 +260,7 @@
         document: parts.document.version(),
         list_giver: parts.list.giver(),
     };
-    asking.next(&informants, knowledge, known, begun, draw, now_ms)
+    asking.next(&sync_sources, knowledge, known, begun, draw, now_ms)
 }
 
 fn count_wasted<A>(node: &Node<A>, bytes: usize)
@@ -333,7 +333,7 @@
     }
 }
 
-async fn fetch(peer: &Informant, path: &str) -> Result<Snapshot, SnapshotFailure> {
+async fn fetch(peer: &SyncSource, path: &str) -> Result<Snapshot, SnapshotFailure> {
     // A connection of its own: what was open before may be what does not work.
     let http = HttpPeer::new(&format!("http://{}", peer.address));
     let call = HttpCall::get(path);
@@ -357,7 +357,7 @@
     node: &Node<A>,
     parts: &mut DocumentParts,
     part: DocumentPart,
-    peer: &Informant,
+    peer: &SyncSource,
     sent_ms: u64,
 ) -> Result<(), SnapshotFailure>
 where
--- a/src/relay_server/reading.rs
+++ b/src/relay_server/store_readers.rs
@@ -7,7 +7,7 @@
 
 /// Instances of a zone that read the store, and one of which gives the orders to engines. With three,
 /// two may fail at once and nobody waits.
-pub(super) const FIRST_OF_ZONE: usize = 3;
+pub(super) const READERS_PER_ZONE: usize = 3;
 /// Age of the newest answer of the store known in a zone at which others step in. A watch that brings
 /// nothing is answered after 1.7 s, and heard of up to a heartbeat later.
 pub(super) const STALE_MS: u64 = 2_050;
@@ -24,29 +24,29 @@
 
 /// What an instance goes by.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct ReadingView {
+pub(super) struct StoreReaderView {
     /// Instances of the zone that come before it.
-    pub(super) place: usize,
+    pub(super) rank: usize,
     /// Those of them that the store has lately answered.
-    pub(super) answered_before: usize,
+    pub(super) answered_ahead: usize,
     /// When the store last answered anybody in the zone, by what is heard here.
     pub(super) answered_ms: Option<u64>,
     /// Since when the process listens.
     pub(super) started_ms: u64,
     /// Whether it reads now.
-    pub(super) reads: bool,
+    pub(super) is_reader: bool,
 }
 
-impl ReadingView {
+impl StoreReaderView {
     /// Whether the instance is to read the store.
     pub(super) fn should_read(self, now_ms: u64) -> bool {
-        if self.place < FIRST_OF_ZONE {
+        if self.rank < READERS_PER_ZONE {
             return true;
         }
-        if self.reads {
-            return self.answered_before < FIRST_OF_ZONE;
+        if self.is_reader {
+            return self.answered_ahead < READERS_PER_ZONE;
         }
-        let steps = (self.place - FIRST_OF_ZONE) as u64;
+        let steps = (self.rank - READERS_PER_ZONE) as u64;
         let wait_ms = (steps * STEP_MS).min(MOST_STEPS_MS);
         now_ms >= self.stale_from_ms() + wait_ms
     }
--- a/src/relay_server/reading_tests.rs
+++ b/src/relay_server/store_readers_tests.rs
@@ -1,6 +1,6 @@
 use proptest::prelude::*;
 
-use super::reading::{ReadingView, STALE_MS};
+use super::store_readers::{STALE_MS, StoreReaderView};
 
 /// Instances of one zone in steps of simulated time. Each hears all of them that live, a step later.
 struct Zone {
@@ -26,12 +26,12 @@
         let is_fresh = |at_ms: Option<u64>| at_ms.is_some_and(|at| now_ms < at + STALE_MS);
         for (index, own) in self.instances.iter_mut().enumerate() {
             let before = heard[..index].iter().filter(|it| it.2);
-            let view = ReadingView {
-                place: before.clone().count(),
-                answered_before: before.filter(|it| it.0 && is_fresh(it.1)).count(),
+            let view = StoreReaderView {
+                rank: before.clone().count(),
+                answered_ahead: before.filter(|it| it.0 && is_fresh(it.1)).count(),
                 answered_ms: heard.iter().filter(|it| it.2).filter_map(|it| it.1).max(),
                 started_ms: 0,
-                reads: own.0,
+                is_reader: own.0,
             };
             own.0 = own.2 && view.should_read(now_ms);
             if own.0 {
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -227,7 +227,7 @@
     }
 
     async fn run_once(&mut self, chain: Chain) -> RunEnd {
-        let mut held = HeldTokens::begin(&self.node, chain, self.request.held_tokens());
+        let mut held = HeldTokens::start(&self.node, chain, self.request.held_tokens());
         self.stall.run_begins(boot_ms());
         let exchange = match self.send(held.chain()).await {
             Ok(exchange) => exchange,
@@ -390,7 +390,7 @@
             self.clear_request();
         }
         self.note_event(now_ms);
-        held.event(now_ms);
+        held.record_event(now_ms);
         if self.pieces.send(Ok(whole.bytes)).await.is_err() {
             return Err(RunEnd::CallerLeft);
         }
--- a/src/relay_server/stream/repair.rs
+++ b/src/relay_server/stream/repair.rs
@@ -92,7 +92,7 @@
                     self.repairs += 1;
                     self.stall.repaired(boot_ms());
                     self.chain = Some(chain.clone());
-                    held.change(chain);
+                    held.move_to(chain);
                     return Ok(());
                 }
                 // Another engine may have the room or the layers that this one has not.
--- a/src/relay_server/uplink.rs
+++ b/src/relay_server/uplink.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     /// So much of it, now.
-    Given {
+    Granted {
         /// Length of what is given.
         bytes: usize,
     },
@@ -68,7 +68,7 @@
         let is_idle = free_at_us == now_us;
         if is_idle || free_at_us + takes_us <= now_us + MOST_QUEUED_US {
             self.free_at_us = free_at_us + takes_us;
-            return Admission::Given { bytes };
+            return Admission::Granted { bytes };
         }
         let latest_us = now_us + LONGEST_WAIT_US;
         let promised_us = self.promised_until_us.max(free_at_us) + takes_us;
--- a/src/relay_server/uplink_tests.rs
+++ b/src/relay_server/uplink_tests.rs
@@ -7,7 +7,7 @@
 fn given_at(uplink: &mut Uplink, now_ms: u64) -> usize {
     let answers = std::iter::repeat_with(|| uplink.admit(DOCUMENT_BYTES, now_ms));
     let given = answers.map_while(|it| match it {
-        Admission::Given { bytes } => Some(bytes),
+        Admission::Granted { bytes } => Some(bytes),
         Admission::Busy { .. } => None,
     });
     given.sum()
@@ -52,5 +52,5 @@
         panic!("the link is taken");
     };
     let then = uplink.admit(DOCUMENT_BYTES, 1_000 + wait_ms);
-    assert_eq!(then, Admission::Given { bytes: 62_500 });
+    assert_eq!(then, Admission::Granted { bytes: 62_500 });
 }
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -72,7 +72,7 @@
             return;
         }
         // The first of a zone reach all others within two periods, and so carry on what they hear.
-        let relays = self.peers.borrow().is_among_first(now_ms);
+        let relays = self.peers.borrow().is_top_ranked_in_zone(now_ms);
         let changes = self.quarantine.borrow_mut().hear(told, relays, now_ms);
         self.take_quarantine_changes(&changes, source);
     }
