--- a/src/control/engines.rs
+++ b/src/control/engines.rs
@@ -12,7 +12,7 @@
 use crate::document::{Document, ServiceKind};
 use crate::ids::{EndpointId, ServiceName};
 use crate::instance::{CallId, ControlEffect, TableReply};
-use crate::lease::{HeldLease, Lease, LeaseEvent, ORDER_LIMIT_MS};
+use crate::lease::{HeldLease, Lease, LeaseEvent, MAX_ORDER_DELAY_MS};
 use crate::membership::rank;
 use crate::orders::plan;
 use crate::wire::engine::{EngineAssignment, EngineErrorCode, EngineOrder, EngineState};
@@ -127,7 +127,7 @@
         service.lease.want(lately && !self.stopping.has_begun());
         let may_order = service
             .lease
-            .may_order(document.engines_check_fence, now_ms);
+            .may_send_orders(document.engines_check_fence, now_ms);
         if let Some(lease) = may_order.filter(|_| service.book.is_swept()) {
             for (endpoint, desired) in plan.orders {
                 self.order(name, service, lease, endpoint, desired, now_ms);
@@ -168,7 +168,7 @@
                 desired,
             },
             valid_until_ms: lease.valid_until_ms,
-            timeout_ms: ORDER_LIMIT_MS,
+            timeout_ms: MAX_ORDER_DELAY_MS,
         });
     }
 
--- a/src/fleet/chain.rs
+++ b/src/fleet/chain.rs
@@ -100,7 +100,7 @@
 
 /// What a chain is wanted for.
 #[derive(Clone, Copy, Debug)]
-pub struct ChainAsk<'a> {
+pub struct ChainRequest<'a> {
     /// Service.
     pub service: &'a ServiceName,
     /// Its model.
@@ -122,7 +122,7 @@
 /// Chains inside one availability zone go before all others, whichever zone it is: a request and
 /// its events are small, while the activations of a prompt take 21 KB a token and stage, and
 /// everybody shares the link between two zones.
-pub fn plan_chain(fleet: &Fleet, ask: ChainAsk<'_>, now_ms: u64) -> Option<Chain> {
+pub fn plan_chain(fleet: &Fleet, ask: ChainRequest<'_>, now_ms: u64) -> Option<Chain> {
     let holders = usable_holders(fleet, ask, now_ms);
     let zones: IndexSet<&ZoneName> = holders.iter().map(|it| &it.known.listed.zone).collect();
     let in_zones = zones.into_iter().filter_map(|zone| {
@@ -148,14 +148,14 @@
 /// usable engine outside the chain holds the stage's layers.
 pub fn replace_stage(
     fleet: &Fleet,
-    ask: ChainAsk<'_>,
+    ask: ChainRequest<'_>,
     chain: &Chain,
     lost: &EndpointId,
     now_ms: u64,
 ) -> Option<Chain> {
     let at = chain.stages.iter().position(|it| it.endpoint == *lost)?;
     let in_chain = |id: &EndpointId| chain.stages.iter().any(|it| it.endpoint == *id);
-    let ask = ChainAsk {
+    let ask = ChainRequest {
         first: Some(chain.first()),
         ..ask
     };
@@ -169,7 +169,7 @@
 }
 
 /// The first layer that no usable engine holds, for the log of a request that got no chain.
-pub fn first_gap(fleet: &Fleet, ask: ChainAsk<'_>, now_ms: u64) -> Option<u16> {
+pub fn first_gap(fleet: &Fleet, ask: ChainRequest<'_>, now_ms: u64) -> Option<u16> {
     let holders = usable_holders(fleet, ask, now_ms);
     (0..ask.model.layers).find(|layer| {
         let holds = |it: &Holder<'_>| it.layers.first <= *layer && *layer < it.layers.end;
@@ -177,12 +177,12 @@
     })
 }
 
-fn usable_holders<'a>(fleet: &'a Fleet, ask: ChainAsk<'a>, now_ms: u64) -> Vec<Holder<'a>> {
+fn usable_holders<'a>(fleet: &'a Fleet, ask: ChainRequest<'a>, now_ms: u64) -> Vec<Holder<'a>> {
     let first = ask.first.and_then(|first| fleet.get(&first.endpoint));
     let first_zone = first.map(|known| &known.listed.zone);
     fleet
         .of_service(ask.service)
-        .filter(|known| known.takes_work() && !ask.excluded.contains(&known.listed.id))
+        .filter(|known| known.accepts_work() && !ask.excluded.contains(&known.listed.id))
         // The stages behind a running first one stay in its zone: all tokens so far are read again.
         .filter(|known| first_zone.is_none_or(|zone| known.listed.zone == *zone))
         .filter_map(|known| Holder::new(known, fleet.may_send(known.id(), now_ms), ask, now_ms))
@@ -205,18 +205,18 @@
     fn new(
         known: &'a KnownEndpoint,
         may_begin: bool,
-        ask: ChainAsk<'_>,
+        ask: ChainRequest<'_>,
         now_ms: u64,
     ) -> Option<Self> {
         let layers = known.listed.layers.filter(|layers| !layers.is_empty())?;
         let kind = ask.model.kinds.get(known.listed.kind.as_deref()?)?;
         let step_ms = ask.model.step_ms * kind.step_factor / f64::from(ask.model.layers.max(1));
         let fullness = fullness(known, layers, ask.model, kind.memory_mb, ask.tokens);
-        let slowness = known.standing.slowness(now_ms);
+        let slowness = known.health.slowness(now_ms);
         let crowding = slowness * (1.0 + FULL_FACTOR * fullness * fullness);
         let last_choice_ms = if known.is_held() {
             HELD_MS
-        } else if known.standing.is_full(now_ms) {
+        } else if known.health.is_full(now_ms) {
             TURNED_AWAY_MS
         } else if fullness > 1.0 {
             NO_ROOM_MS
@@ -269,7 +269,7 @@
 }
 
 /// The layers behind the first stage, or all where it is still open.
-fn rest_of(ask: ChainAsk<'_>) -> LayerRange {
+fn rest_of(ask: ChainRequest<'_>) -> LayerRange {
     LayerRange {
         first: ask.first.map_or(0, |first| first.layers.end),
         end: ask.model.layers,
@@ -278,7 +278,7 @@
 
 /// Shortest path through a range of layers. Layer boundaries are visited in order, since every edge
 /// leads to a higher one.
-fn cheapest(holders: &[&Holder<'_>], span: LayerRange, ask: ChainAsk<'_>) -> Option<Path> {
+fn cheapest(holders: &[&Holder<'_>], span: LayerRange, ask: ChainRequest<'_>) -> Option<Path> {
     let bounds = boundaries(holders, span);
     let mut best: Vec<Option<Arrival>> = vec![None; bounds.len()];
     best[0] = Some(Arrival::default());
@@ -317,7 +317,7 @@
     here: &Arrival,
     index: usize,
     bound: u16,
-    ask: ChainAsk<'_>,
+    ask: ChainRequest<'_>,
 ) -> bool {
     let id = &holder.known.listed.id;
     let can_start = holder.layers.first <= bound && bound < holder.layers.end;
@@ -332,7 +332,7 @@
     holder: &Holder<'_>,
     here: &Arrival,
     holders: &[&Holder<'_>],
-    ask: ChainAsk<'_>,
+    ask: ChainRequest<'_>,
 ) -> f64 {
     let zone = &holder.known.listed.zone;
     match here.holders.last() {
--- a/src/fleet/entry.rs
+++ b/src/fleet/entry.rs
@@ -40,7 +40,7 @@
 
 /// Why an entry of the list names no endpoint that could be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
-pub enum EntryFault {
+pub enum EntryError {
     /// Its bytes cannot be decoded.
     #[error("its bytes cannot be decoded: {0}")]
     Undecodable(String),
@@ -59,14 +59,14 @@
     /// Its name.
     pub name: EndpointName,
     /// What is wrong with it.
-    pub fault: EntryFault,
+    pub fault: EntryError,
 }
 
 /// How much of the list a read covers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListingScope {
     /// The whole list: what it does not name is missing.
-    Whole,
+    Full,
     /// What has changed since the last read, with the names of entries that were removed.
     Changes {
         /// Entries removed.
@@ -87,9 +87,9 @@
 
 impl ListingRead {
     /// A whole list, all of its entries usable.
-    pub fn whole(entries: Vec<ListedEndpoint>) -> Self {
+    pub fn full(entries: Vec<ListedEndpoint>) -> Self {
         Self {
-            scope: ListingScope::Whole,
+            scope: ListingScope::Full,
             entries,
             unusable: Vec::new(),
         }
@@ -130,9 +130,9 @@
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Who had said that it leaves.
-    pub told_by: InstanceId,
+    pub reported_by: InstanceId,
     /// When.
-    pub told_ms: u64,
+    pub reported_ms: u64,
     /// Why that does not go any more.
     pub reason: LiveReason,
 }
@@ -156,9 +156,9 @@
     /// It takes work again, which a peer had said it would not.
     LiveAgain(LiveAgain),
     /// It is gone.
-    Gone(EndpointId),
+    Removed(EndpointId),
     /// It is taken for gone: its entry lapsed while the list was away, and has not come back.
-    Lapsed(EndpointId),
+    Expired(EndpointId),
     /// It holds other layers.
     Layers(EndpointId, Option<LayerRange>),
     /// An entry names no endpoint to use. Said once for each entry and fault.
--- a/src/fleet/pacing_of_fleet.rs
+++ b/src/fleet/fleet_pacing.rs
@@ -12,8 +12,13 @@
 
 impl Fleet {
     /// Takes what an answer of an endpoint says of how it wants to be sent requests; returns what is new.
-    pub fn hear_pacing(&mut self, id: &EndpointId, said: Pacing, now_ms: u64) -> Vec<PacingChange> {
-        let changes = self.pacing.hear(id, said, now_ms);
+    pub fn apply_pacing(
+        &mut self,
+        id: &EndpointId,
+        said: Pacing,
+        now_ms: u64,
+    ) -> Vec<PacingChange> {
+        let changes = self.pacing.apply(id, said, now_ms);
         if said.is_leaving {
             self.leaves_for_good(id);
         }
@@ -21,7 +26,7 @@
     }
 
     /// Takes a peer's word that an endpoint has itself said that it leaves. Returns whether that is news.
-    pub fn told_said_leaving(&mut self, id: &EndpointId, now_ms: u64) -> bool {
+    pub fn record_announced_leaving(&mut self, id: &EndpointId, now_ms: u64) -> bool {
         self.pacing.hear_leaving(id, now_ms);
         self.leaves_for_good(id)
     }
@@ -57,9 +62,13 @@
 
     /// Whether there are endpoints of a service on which a request could begin if they wanted one now, and
     /// when the first of them may be sent one.
-    pub(crate) fn held_off(&self, service: &ServiceName, now_ms: u64) -> Option<NextSend> {
+    pub(crate) fn earliest_paced_send(
+        &self,
+        service: &ServiceName,
+        now_ms: u64,
+    ) -> Option<NextSend> {
         let held_off = self.of_service(service).filter(|known| {
-            known.takes_work() && known.can_begin() && !self.may_send(known.id(), now_ms)
+            known.accepts_work() && known.can_begin() && !self.may_send(known.id(), now_ms)
         });
         let at_ms = |known: &KnownEndpoint| self.pacing.next_send_ms(known.id());
         let first = held_off.map(at_ms).reduce(|a, b| match (a, b) {
--- a/src/fleet/evidence.rs
+++ b/src/fleet/health.rs
@@ -25,7 +25,7 @@
 
 /// What went wrong at an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum EndpointFailure {
     /// No process listens at its address: whatever ran there has ended.
     Ended,
     /// It does not answer a fresh connection.
@@ -45,7 +45,7 @@
     Withdrawn,
 }
 
-impl Trouble {
+impl EndpointFailure {
     /// Name in log lines.
     pub fn name(self) -> &'static str {
         match self {
@@ -61,7 +61,7 @@
     }
 
     /// Whether what runs at the endpoint is lost.
-    pub fn is_death(self) -> bool {
+    pub fn loses_requests(self) -> bool {
         matches!(self, Self::Ended | Self::Unreachable)
     }
 
@@ -86,7 +86,7 @@
 
 /// The endpoint's record with this process.
 #[derive(Clone, Debug, Default)]
-pub struct Standing {
+pub struct EndpointHealth {
     troubles_in_row: u32,
     pauses_in_row: u32,
     paused_until_ms: Option<u64>,
@@ -104,14 +104,14 @@
     latency_ms: Option<f64>,
 }
 
-impl Standing {
+impl EndpointHealth {
     /// Whether the endpoint is left out now.
     pub fn is_paused(&self, now_ms: u64) -> bool {
         self.paused_until_ms.is_some_and(|until| now_ms < until)
     }
 
     /// Whether nothing has shown since the last pause that the endpoint is sound.
-    pub fn is_doubtful(&self) -> bool {
+    pub fn is_unverified(&self) -> bool {
         self.paused_until_ms.is_some()
     }
 
@@ -139,12 +139,12 @@
     }
 
     /// Whether it is so slow that its layers need another holder.
-    pub fn is_crawling(&self, now_ms: u64) -> bool {
+    pub fn is_very_slow(&self, now_ms: u64) -> bool {
         self.slowness(now_ms) >= CRAWL_SLOWNESS
     }
 
     /// Notes that it turned a request away for want of room; returns whether that is news.
-    pub fn was_full(&mut self, now_ms: u64) -> bool {
+    pub fn record_full(&mut self, now_ms: u64) -> bool {
         if self.is_full(now_ms) {
             return false;
         }
@@ -154,7 +154,7 @@
     }
 
     /// Notes that it takes requests.
-    pub fn took_request(&mut self) {
+    pub fn record_accepted(&mut self) {
         self.full_in_row = 0;
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Takes a report of slowness; returns whether the engine is slow now and was not before.
-    pub fn reported_slowness(&mut self, factor: f64, now_ms: u64) -> bool {
+    pub fn record_slowness(&mut self, factor: f64, now_ms: u64) -> bool {
         let was_slow = self.slowness(now_ms) > USUAL_SLOWNESS;
         let is_slow = factor > USUAL_SLOWNESS;
         self.slowness = is_slow.then_some(Slowness {
@@ -190,7 +190,7 @@
     }
 
     /// Takes a whole answer that came `latency_ms` after the request.
-    pub fn answered(&mut self, latency_ms: u64) {
+    pub fn record_answer(&mut self, latency_ms: u64) {
         self.clear();
         let newest = latency_ms as f64;
         let mean = self.latency_ms.unwrap_or(newest);
@@ -208,10 +208,10 @@
     }
 
     /// Takes a trouble; returns whether the endpoint is on pause from now on and was not before.
-    pub fn troubled(&mut self, trouble: Trouble, now_ms: u64) -> bool {
+    pub fn record_failure(&mut self, trouble: EndpointFailure, now_ms: u64) -> bool {
         self.troubles_in_row += 1;
-        self.is_dead |= trouble.is_death();
-        self.has_ended |= trouble == Trouble::Ended;
+        self.is_dead |= trouble.loses_requests();
+        self.has_ended |= trouble == EndpointFailure::Ended;
         if self.troubles_in_row < trouble.tolerated() || self.is_paused(now_ms) {
             return false;
         }
@@ -223,7 +223,7 @@
     /// the link; returns whether it is on pause from now on and was not before.
     pub(super) fn unanswered(&mut self, asked_ms: u64, now_ms: u64) -> bool {
         self.unanswered_since_ms = Some(asked_ms);
-        self.troubled(Trouble::Unreachable, now_ms)
+        self.record_failure(EndpointFailure::Unreachable, now_ms)
     }
 
     /// Leaves the endpoint out from now on, twice as long as the last time.
--- a/src/fleet/held_tests.rs
+++ b/src/fleet/held_tests.rs
@@ -10,13 +10,13 @@
 fn an_entry_that_lapsed_while_the_list_was_away_is_held_for_a_while() {
     let mut fleet = fleet(vec![listed("a", "lac", None), listed("b", "lac", None)]);
     let a = EndpointId::from("a");
-    let missing = || ListingRead::whole(vec![listed("b", "lac", None)]);
-    assert_eq!(fleet.take(missing(), true, 10_000), vec![]);
+    let missing = || ListingRead::full(vec![listed("b", "lac", None)]);
+    assert_eq!(fleet.apply_read(missing(), true, 10_000), vec![]);
     assert!(fleet.get(&a).is_some());
-    assert_eq!(fleet.take(missing(), false, 11_000), vec![]);
+    assert_eq!(fleet.apply_read(missing(), false, 11_000), vec![]);
     assert_eq!(
-        fleet.take(missing(), false, 12_300),
-        vec![FleetChange::Lapsed(a.clone())]
+        fleet.apply_read(missing(), false, 12_300),
+        vec![FleetChange::Expired(a.clone())]
     );
 }
 
@@ -27,10 +27,10 @@
 fn a_held_entry_is_dropped_in_time_though_the_list_is_not_read() {
     let mut fleet = fleet(vec![listed("a", "lac", None), listed("b", "lac", None)]);
     let a = EndpointId::from("a");
-    fleet.take(ListingRead::changes(vec![], vec![a.name()]), true, 10_000);
-    fleet.settle(12_100);
+    fleet.apply_read(ListingRead::changes(vec![], vec![a.name()]), true, 10_000);
+    fleet.expire(12_100);
     assert!(fleet.get(&a).is_some());
-    fleet.settle(12_200);
+    fleet.expire(12_200);
     assert!(fleet.get(&a).is_none());
 }
 
@@ -41,7 +41,7 @@
 fn a_replica_whose_entry_is_only_held_is_chosen_if_no_other_is_left() {
     let mut fleet = fleet(vec![listed("a", "lac", None), listed("b", "marsa", None)]);
     let a = EndpointId::from("a");
-    fleet.take(ListingRead::changes(vec![], vec![a.name()]), true, 0);
+    fleet.apply_read(ListingRead::changes(vec![], vec![a.name()]), true, 0);
     let b = EndpointId::from("b");
     fleet.get_mut(&b).expect("listed").in_flight = 100;
     let pick = |fleet: &Fleet, tried: &[&EndpointId]| {
@@ -63,7 +63,7 @@
         listed("d", "marsa", Some(range(14, 20))),
     ]);
     let a = EndpointId::from("a");
-    fleet.take(ListingRead::changes(vec![], vec![a.name()]), true, 0);
+    fleet.apply_read(ListingRead::changes(vec![], vec![a.name()]), true, 0);
     let through = |fleet: &Fleet, excluded: &[&str]| plan(fleet, excluded).map(|it| it[0].clone());
     assert_eq!(through(&fleet, &[]).as_deref(), Some("c 0-14"));
     assert_eq!(
@@ -78,7 +78,10 @@
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
     let removed = ListingRead::changes(vec![], vec![a.name()]);
-    assert_eq!(fleet.take(removed, false, 5), vec![FleetChange::Gone(a)]);
+    assert_eq!(
+        fleet.apply_read(removed, false, 5),
+        vec![FleetChange::Removed(a)]
+    );
 }
 
 #[test]
@@ -86,13 +89,13 @@
     let mut holder = fleet(vec![listed("a", "lac", None), listed("b", "lac", None)]);
     let removed = || ListingRead::changes(vec![], vec![EndpointId::from("a").name()]);
     // The list was away for this instance: the entry may have lapsed only.
-    holder.take(removed(), true, 100);
+    holder.apply_read(removed(), true, 100);
     assert!(holder.get(&EndpointId::from("a")).is_some());
     // The peer has read that it was removed, and must not take it up again.
     let mut peer = fleet(vec![listed("a", "lac", None), listed("b", "lac", None)]);
-    peer.take(removed(), false, 100);
+    peer.apply_read(removed(), false, 100);
     assert_eq!(
-        peer.take_from_peer(&teller(), holder.listing(), 1_500),
+        peer.apply_peer_list(&teller(), holder.listed_endpoints(), 1_500),
         vec![]
     );
     assert!(peer.get(&EndpointId::from("a")).is_none());
--- a/src/fleet/known.rs
+++ b/src/fleet/known.rs
@@ -5,7 +5,7 @@
 use crate::ids::EndpointId;
 use crate::wire::engine::LayerRange;
 
-use super::{ChainStage, Heard, ListedEndpoint, Phase, Provenance, Standing};
+use super::{ChainStage, EndpointHealth, LastHeard, ListedEndpoint, Phase, Provenance};
 
 /// How long the list may still show the layers that an engine held before.
 const LAYERS_LAG_MS: u64 = 1_500;
@@ -45,9 +45,9 @@
     /// How and when the newest word on it came.
     pub provenance: Provenance,
     /// What calls have shown.
-    pub standing: Standing,
+    pub health: EndpointHealth,
     /// When something last came from it.
-    pub heard: Heard,
+    pub last_heard: LastHeard,
     /// Requests of this process that it has now.
     pub in_flight: u32,
     /// Tokens times layers that requests of this process hold in its memory.
@@ -71,8 +71,8 @@
         Self {
             listed,
             provenance,
-            standing: Standing::default(),
-            heard: Heard::default(),
+            health: EndpointHealth::default(),
+            last_heard: LastHeard::default(),
             in_flight: 0,
             held_token_layers: 0,
             peers_load: EngineLoad::default(),
@@ -89,7 +89,7 @@
     }
 
     /// Takes the engine's own word on its layers, which is newer than the list for a while.
-    pub fn said_layers(&mut self, layers: Option<LayerRange>, now_ms: u64) {
+    pub fn set_reported_layers(&mut self, layers: Option<LayerRange>, now_ms: u64) {
         self.listed.layers = layers;
         self.layers_said_until_ms = Some(now_ms + LAYERS_LAG_MS);
     }
@@ -104,8 +104,8 @@
     }
 
     /// Whether new work may go there without doubt.
-    pub fn takes_work(&self) -> bool {
-        self.listed.phase == Phase::Live && !self.standing.is_doubtful()
+    pub fn accepts_work(&self) -> bool {
+        self.listed.phase == Phase::Live && !self.health.is_unverified()
     }
 
     /// Whether a request can begin there: at an engine only with the first layer.
@@ -121,24 +121,24 @@
 
     /// Whether something has come from it since the question whose silence counted as its death. A
     /// process that has ended is not shown to live by what it sent before.
-    pub fn was_heard_since_question(&self) -> bool {
-        let asked_ms = self.standing.unanswered_since_ms();
-        let is_heard = asked_ms.is_some_and(|asked_ms| self.heard.at_ms() > asked_ms);
-        is_heard && !self.standing.has_ended()
+    pub fn heard_since_probe(&self) -> bool {
+        let asked_ms = self.health.unanswered_since_ms();
+        let is_heard = asked_ms.is_some_and(|asked_ms| self.last_heard.at_ms() > asked_ms);
+        is_heard && !self.health.has_ended()
     }
 
     /// Whether what runs there is lost, as far as is known.
     pub fn is_lost(&self) -> bool {
-        self.standing.is_dead() && !self.was_heard_since_question()
+        self.health.is_dead() && !self.heard_since_probe()
     }
 
     /// Takes that it has not answered a question of `asked_ms`; returns whether it is on pause from now
     /// on and was not before.
-    pub fn unanswered(&mut self, asked_ms: u64, now_ms: u64) -> bool {
-        if self.was_heard_since_question() {
-            self.standing.clear();
+    pub fn record_unanswered(&mut self, asked_ms: u64, now_ms: u64) -> bool {
+        if self.heard_since_probe() {
+            self.health.clear();
         }
-        self.standing.unanswered(asked_ms, now_ms)
+        self.health.unanswered(asked_ms, now_ms)
     }
 
     /// Tokens times layers in its memory, of this process and of other instances.
--- a/src/fleet/known_tests.rs
+++ b/src/fleet/known_tests.rs
@@ -1,6 +1,6 @@
 use std::net::SocketAddr;
 
-use super::{Fleet, KnownEndpoint, ListedEndpoint, ListingRead, Phase, Trouble};
+use super::{EndpointFailure, Fleet, KnownEndpoint, ListedEndpoint, ListingRead, Phase};
 use crate::ids::{EndpointId, ServiceName, ZoneName};
 
 /// When the engine below was asked, and when its silence counted as its death.
@@ -21,34 +21,34 @@
         kind: Some("small".to_owned()),
         layers: None,
     };
-    fleet.take(ListingRead::whole(vec![entry]), false, 0);
+    fleet.apply_read(ListingRead::full(vec![entry]), false, 0);
     act(fleet.get_mut(&id).expect("listed"))
 }
 
 #[test]
 fn an_engine_that_is_silent_since_it_was_asked_is_lost() {
     with_engine(|engine| {
-        engine.heard.note(ASKED_MS);
-        assert!(engine.unanswered(ASKED_MS, FOUND_MS));
-        assert!(engine.is_lost() && !engine.was_heard_since_question());
+        engine.last_heard.record(ASKED_MS);
+        assert!(engine.record_unanswered(ASKED_MS, FOUND_MS));
+        assert!(engine.is_lost() && !engine.heard_since_probe());
     });
 }
 
 #[test]
 fn an_engine_that_is_heard_after_all_is_not_lost() {
     with_engine(|engine| {
-        engine.unanswered(ASKED_MS, FOUND_MS);
-        engine.heard.note(FOUND_MS + 1);
-        assert!(!engine.is_lost() && engine.was_heard_since_question());
+        engine.record_unanswered(ASKED_MS, FOUND_MS);
+        engine.last_heard.record(FOUND_MS + 1);
+        assert!(!engine.is_lost() && engine.heard_since_probe());
     });
 }
 
 #[test]
 fn a_second_death_is_told_though_the_first_was_false() {
     with_engine(|engine| {
-        engine.unanswered(ASKED_MS, FOUND_MS);
-        engine.heard.note(FOUND_MS + 1);
-        assert!(engine.unanswered(FOUND_MS + 2, FOUND_MS + 112));
+        engine.record_unanswered(ASKED_MS, FOUND_MS);
+        engine.last_heard.record(FOUND_MS + 1);
+        assert!(engine.record_unanswered(FOUND_MS + 2, FOUND_MS + 112));
         assert!(engine.is_lost());
     });
 }
@@ -56,9 +56,11 @@
 #[test]
 fn what_an_ended_process_sent_before_does_not_show_it_to_live() {
     with_engine(|engine| {
-        engine.unanswered(ASKED_MS, FOUND_MS);
-        engine.standing.troubled(Trouble::Ended, FOUND_MS + 1);
-        engine.heard.note(FOUND_MS + 2);
+        engine.record_unanswered(ASKED_MS, FOUND_MS);
+        engine
+            .health
+            .record_failure(EndpointFailure::Ended, FOUND_MS + 1);
+        engine.last_heard.record(FOUND_MS + 2);
         assert!(engine.is_lost());
     });
 }
--- a/src/fleet/heard.rs
+++ b/src/fleet/last_heard.rs
@@ -6,11 +6,11 @@
 /// When something last came from an endpoint, or over it as a stage of a chain. Clones share the time,
 /// so that a stream notes each event without a look into a map.
 #[derive(Clone, Debug, Default)]
-pub struct Heard(Rc<Cell<u64>>);
+pub struct LastHeard(Rc<Cell<u64>>);
 
-impl Heard {
+impl LastHeard {
     /// Notes that something came.
-    pub fn note(&self, now_ms: u64) {
+    pub fn record(&self, now_ms: u64) {
         self.0.set(now_ms.max(self.0.get()));
     }
 
--- a/src/fleet/lifetime_tests.rs
+++ b/src/fleet/lifetime_tests.rs
@@ -40,7 +40,7 @@
 }
 
 fn write(fleet: &mut Fleet, entry: ListedEndpoint, now_ms: u64) -> Vec<FleetChange> {
-    fleet.take(ListingRead::changes(vec![entry], vec![]), false, now_ms)
+    fleet.apply_read(ListingRead::changes(vec![entry], vec![]), false, now_ms)
 }
 
 #[test]
@@ -48,14 +48,14 @@
     let (first, second) = (lifetime("a", 100), lifetime("a", 200));
     let mut fleet = Fleet::default();
     write(&mut fleet, listed(&first, Some(LAYERS)), 0);
-    fleet.troubled(&first, Trouble::Ended, 10);
-    fleet.told_leaving(&teller(), &first, 10);
+    fleet.record_failure(&first, EndpointFailure::Ended, 10);
+    fleet.record_peer_leaving(&teller(), &first, 10);
     fleet.set_peers_load(&IndexMap::from([(first.clone(), tokens(700))]));
     let known = fleet.get_mut(&first).expect("listed");
     known.held_token_layers = 500;
     known.in_flight = 3;
-    known.standing.was_full(10);
-    known.said_layers(Some(LAYERS), 10);
+    known.health.record_full(10);
+    known.set_reported_layers(Some(LAYERS), 10);
     let changes = write(&mut fleet, listed(&second, None), 20);
     let restarted = FleetChange::Restarted {
         ended: first.clone(),
@@ -69,7 +69,7 @@
     assert_eq!((known.token_layers(), known.in_flight), (0, 0));
     assert_eq!(known.requests(), 0);
     assert_eq!(known.listed.layers, None);
-    assert!(known.takes_work() && !known.standing.is_full(20));
+    assert!(known.accepts_work() && !known.health.is_full(20));
 }
 
 #[test]
@@ -80,16 +80,16 @@
     write(&mut fleet, listed(&second, None), 20);
     assert_eq!(write(&mut fleet, listed(&first, Some(LAYERS)), 30), []);
     assert_eq!(
-        fleet.take_from_peer(&teller(), vec![listed(&first, Some(LAYERS))], 40),
+        fleet.apply_peer_list(&teller(), vec![listed(&first, Some(LAYERS))], 40),
         []
     );
-    assert!(!fleet.told_leaving(&teller(), &first, 50));
-    fleet.troubled(&first, Trouble::Ended, 50);
+    assert!(!fleet.record_peer_leaving(&teller(), &first, 50));
+    fleet.record_failure(&first, EndpointFailure::Ended, 50);
     let known = fleet.get(&second).expect("listed");
-    assert!(known.takes_work());
+    assert!(known.accepts_work());
     assert_eq!(known.listed.layers, None);
     let removed = ListingRead::changes(vec![], vec![second.name()]);
-    fleet.take(removed, false, 60);
+    fleet.apply_read(removed, false, 60);
     assert_eq!(write(&mut fleet, listed(&first, Some(LAYERS)), 70), []);
     assert_eq!(fleet.iter().count(), 0, "also once the later one is gone");
 }
@@ -100,10 +100,10 @@
     let other = lifetime("b", 100);
     let mut fleet = Fleet::default();
     let whole = vec![listed(&id, None), listed(&other, None)];
-    fleet.take(ListingRead::whole(whole), false, 0);
+    fleet.apply_read(ListingRead::full(whole), false, 0);
     let unusable = UnusableEntry {
         name: id.name(),
-        fault: EntryFault::UnknownState("warming".to_owned()),
+        fault: EntryError::UnknownState("warming".to_owned()),
     };
     let read = |scope| ListingRead {
         scope,
@@ -111,12 +111,12 @@
         unusable: vec![unusable.clone()],
     };
     let changes = ListingScope::Changes { removed: vec![] };
-    let seen = fleet.take(read(changes.clone()), false, 10);
+    let seen = fleet.apply_read(read(changes.clone()), false, 10);
     let said = FleetChange::Unusable(unusable.clone());
-    assert_eq!(seen, [FleetChange::Lapsed(id.clone()), said]);
+    assert_eq!(seen, [FleetChange::Expired(id.clone()), said]);
     assert!(fleet.get(&other).is_some(), "the others hold");
     assert_eq!(
-        fleet.take(read(changes.clone()), false, 20),
+        fleet.apply_read(read(changes.clone()), false, 20),
         [],
         "said once"
     );
@@ -125,7 +125,7 @@
         [FleetChange::Joined(id.clone())]
     );
     assert_eq!(
-        fleet.take(read(changes), false, 40).len(),
+        fleet.apply_read(read(changes), false, 40).len(),
         2,
         "said again after it was sound"
     );
@@ -139,11 +139,11 @@
     /// An entry of a lifetime is read: 0 is the newest, 1 the one before.
     Entry { back: usize, is_from_peer: bool },
     /// The entry is removed while the list is kept, or while it is away.
-    Removed { was_away: bool },
+    Removed { after_outage: bool },
     /// A peer says that a lifetime is leaving.
     ToldLeaving { back: usize },
     /// A call to a lifetime fails.
-    Trouble { back: usize },
+    EndpointFailure { back: usize },
     /// A report of a lifetime names its layers.
     Report { back: usize },
     /// Peers hold tokens at a lifetime.
@@ -158,9 +158,9 @@
         2 => Just(Event::Restart),
         6 => (back(), any::<bool>())
             .prop_map(|(back, is_from_peer)| Event::Entry { back, is_from_peer }),
-        2 => any::<bool>().prop_map(|was_away| Event::Removed { was_away }),
+        2 => any::<bool>().prop_map(|after_outage| Event::Removed { after_outage }),
         2 => back().prop_map(|back| Event::ToldLeaving { back }),
-        2 => back().prop_map(|back| Event::Trouble { back }),
+        2 => back().prop_map(|back| Event::EndpointFailure { back }),
         2 => back().prop_map(|back| Event::Report { back }),
         2 => back().prop_map(|back| Event::PeersLoad { back }),
         2 => (1u64..3_000).prop_map(|ms| Event::Pass { ms }),
@@ -184,26 +184,26 @@
                     let id = lifetime("a", at(back));
                     newest_listed_ms = newest_listed_ms.max(at(back));
                     if is_from_peer {
-                        fleet.take_from_peer(&teller(), vec![listed(&id, None)], now_ms);
+                        fleet.apply_peer_list(&teller(), vec![listed(&id, None)], now_ms);
                     } else {
                         write(&mut fleet, listed(&id, None), now_ms);
                     }
                 }
-                Event::Removed { was_away } => {
+                Event::Removed { after_outage } => {
                     let removed = vec![EndpointName::from("a")];
-                    fleet.take(ListingRead::changes(vec![], removed), was_away, now_ms);
+                    fleet.apply_read(ListingRead::changes(vec![], removed), after_outage, now_ms);
                 }
                 Event::ToldLeaving { back } => {
-                    fleet.told_leaving(&teller(), &lifetime("a", at(back)), now_ms);
+                    fleet.record_peer_leaving(&teller(), &lifetime("a", at(back)), now_ms);
                     touched.insert(at(back));
                 }
-                Event::Trouble { back } => {
-                    fleet.troubled(&lifetime("a", at(back)), Trouble::Ended, now_ms);
+                Event::EndpointFailure { back } => {
+                    fleet.record_failure(&lifetime("a", at(back)), EndpointFailure::Ended, now_ms);
                     touched.insert(at(back));
                 }
                 Event::Report { back } => {
                     if let Some(known) = fleet.get_mut(&lifetime("a", at(back))) {
-                        known.said_layers(Some(LAYERS), now_ms);
+                        known.set_reported_layers(Some(LAYERS), now_ms);
                         touched.insert(at(back));
                     }
                 }
@@ -214,7 +214,7 @@
                 }
                 Event::Pass { ms } => {
                     now_ms += ms;
-                    fleet.settle(now_ms);
+                    fleet.expire(now_ms);
                 }
             }
             prop_assert!(fleet.iter().count() <= 1);
@@ -223,7 +223,7 @@
                 prop_assert_eq!(born_ms, newest_listed_ms);
                 prop_assert!(!fleet.ended.contains_key(known.id()));
                 if !touched.contains(&born_ms) {
-                    prop_assert!(known.takes_work());
+                    prop_assert!(known.accepts_work());
                     prop_assert_eq!(known.listed.layers, None);
                     prop_assert_eq!(known.token_layers(), 0);
                 }
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -3,8 +3,9 @@
 use indexmap::{IndexMap, IndexSet};
 
 use super::{
-    EngineLoad, EntryFault, FleetChange, InfoPath, KnownEndpoint, ListedEndpoint, ListingRead,
-    ListingScope, LiveAgain, LiveReason, PacingBook, Phase, Provenance, Trouble, UnusableEntry,
+    EndpointFailure, EngineLoad, EntryError, FleetChange, InfoSource, KnownEndpoint,
+    ListedEndpoint, ListingRead, ListingScope, LiveAgain, LiveReason, PacingState, Phase,
+    Provenance, UnusableEntry,
 };
 use crate::ids::{EndpointId, EndpointName, InstanceId, ServiceName};
 use crate::wire::engine::LayerRange;
@@ -51,29 +52,29 @@
     /// Told to be leaving or gone by a peer before the list said so here.
     told_leaving: IndexMap<EndpointId, Told>,
     /// Entries that name no endpoint to use, as far as they were reported.
-    unusable: IndexMap<EndpointName, EntryFault>,
+    unusable: IndexMap<EndpointName, EntryError>,
     /// How endpoints want to be sent requests.
-    pub(crate) pacing: PacingBook,
+    pub(crate) pacing: PacingState,
     is_known: bool,
     /// When the list was surely the newest. Never falls.
     newest_at_ms: u64,
     /// By which path that was learnt.
-    newest_path: InfoPath,
+    newest_path: InfoSource,
 }
 
 impl Fleet {
     /// Whether the list was read once.
-    pub fn is_known(&self) -> bool {
+    pub fn is_loaded(&self) -> bool {
         self.is_known
     }
 
     /// Notes that a read of the list was sent at `sent_ms`: the list is as new as that.
     pub fn confirm(&mut self, sent_ms: u64) {
-        self.confirm_by(InfoPath::Store, sent_ms);
+        self.confirm_from(InfoSource::Store, sent_ms);
     }
 
     /// Notes that the list is as new as `at_ms`, as it is known by `path`.
-    pub fn confirm_by(&mut self, path: InfoPath, at_ms: u64) {
+    pub fn confirm_from(&mut self, path: InfoSource, at_ms: u64) {
         if at_ms > self.newest_at_ms {
             self.newest_at_ms = at_ms;
             self.newest_path = path;
@@ -81,7 +82,7 @@
     }
 
     /// By which path the list was last known to be the newest.
-    pub fn list_path(&self) -> &InfoPath {
+    pub fn list_source(&self) -> &InfoSource {
         &self.newest_path
     }
 
@@ -94,7 +95,7 @@
     /// and layers is left out: two instances that hand each other's word on would keep it for ever.
     /// So are entries that are only held because they may come back: a peer that saw one removed
     /// would use it again.
-    pub fn listing(&self) -> Vec<ListedEndpoint> {
+    pub fn listed_endpoints(&self) -> Vec<ListedEndpoint> {
         let is_listed = |known: &&KnownEndpoint| !known.is_held();
         let listed = self.iter().filter(is_listed);
         listed.map(KnownEndpoint::as_read).collect()
@@ -137,44 +138,49 @@
     /// Whether nothing runs any more in this lifetime of an endpoint: no process listened at its
     /// address when it was asked last, or another lifetime has begun under its name.
     pub fn has_ended(&self, id: &EndpointId) -> bool {
-        let refuses = |known: &KnownEndpoint| known.standing.has_ended();
+        let refuses = |known: &KnownEndpoint| known.health.has_ended();
         self.ended.contains_key(id) || self.get(id).is_some_and(refuses)
     }
 
-    /// Takes a read of the list. `was_away` says that the list could not be read or kept shortly
+    /// Takes a read of the list. `after_outage` says that the list could not be read or kept shortly
     /// before: entries that are missing are then held for a while.
-    pub fn take(&mut self, read: ListingRead, was_away: bool, now_ms: u64) -> Vec<FleetChange> {
-        self.take_by(&InfoPath::Store, read, was_away, now_ms)
+    pub fn apply_read(
+        &mut self,
+        read: ListingRead,
+        after_outage: bool,
+        now_ms: u64,
+    ) -> Vec<FleetChange> {
+        self.apply_read_from(&InfoSource::Store, read, after_outage, now_ms)
     }
 
     /// The same, of a read that reached this instance by `path`.
-    pub fn take_by(
+    pub fn apply_read_from(
         &mut self,
-        path: &InfoPath,
+        path: &InfoSource,
         read: ListingRead,
-        was_away: bool,
+        after_outage: bool,
         now_ms: u64,
     ) -> Vec<FleetChange> {
         let mut changes = Vec::new();
         let missing = match &read.scope {
-            ListingScope::Whole => self.missing_from(&read),
+            ListingScope::Full => self.missing_from(&read),
             ListingScope::Changes { removed } => self.lifetimes_of(removed),
         };
         for entry in read.entries {
             self.write(entry, path, now_ms, &mut changes);
         }
-        self.remove(&missing, was_away, now_ms, &mut changes);
+        self.remove(&missing, after_outage, now_ms, &mut changes);
         for entry in read.unusable {
             self.drop_unusable(entry, &mut changes);
         }
-        changes.extend(self.settle(now_ms));
+        changes.extend(self.expire(now_ms));
         self.is_known = true;
         changes
     }
 
     /// Takes the list as a peer knows it, while it cannot be read here. Endpoints that the list has
     /// shown leaving here stay so: the peer may not have read that yet.
-    pub fn take_from_peer(
+    pub fn apply_peer_list(
         &mut self,
         peer: &InstanceId,
         mut entries: Vec<ListedEndpoint>,
@@ -186,12 +192,12 @@
                 entry.phase = Phase::Leaving;
             }
         }
-        let path = InfoPath::PeerList(peer.clone());
-        self.take_by(&path, ListingRead::whole(entries), true, now_ms)
+        let path = InfoSource::PeerList(peer.clone());
+        self.apply_read_from(&path, ListingRead::full(entries), true, now_ms)
     }
 
     /// Takes a peer's word that an endpoint is leaving or gone. Returns whether that is news.
-    pub fn told_leaving(&mut self, peer: &InstanceId, id: &EndpointId, now_ms: u64) -> bool {
+    pub fn record_peer_leaving(&mut self, peer: &InstanceId, id: &EndpointId, now_ms: u64) -> bool {
         self.told_leaving.entry(id.clone()).or_insert(Told {
             by: peer.clone(),
             at_ms: now_ms,
@@ -204,7 +210,7 @@
         known.listed.phase = Phase::Leaving;
         if is_news {
             known.provenance = Provenance {
-                path: InfoPath::Heartbeat(peer.clone()),
+                path: InfoSource::Heartbeat(peer.clone()),
                 at_ms: now_ms,
             };
         }
@@ -215,7 +221,7 @@
     /// endpoints, are old by now, drops entries that were held long enough, and forgets what is too old
     /// to matter. The list may not be read for seconds, and an entry that is held until the next read would be
     /// chosen for as long.
-    pub fn settle(&mut self, now_ms: u64) -> Vec<FleetChange> {
+    pub fn expire(&mut self, now_ms: u64) -> Vec<FleetChange> {
         let mut changes = Vec::new();
         let newest_at_ms = self.newest_at_ms;
         self.told_leaving.retain(|id, told| {
@@ -244,8 +250,8 @@
             known.listed.phase = Phase::Live;
             changes.push(FleetChange::LiveAgain(LiveAgain {
                 endpoint: id.clone(),
-                told_by: told.by.clone(),
-                told_ms: told.at_ms,
+                reported_by: told.by.clone(),
+                reported_ms: told.at_ms,
                 reason,
             }));
             false
@@ -272,16 +278,21 @@
     }
 
     /// Takes that requests of another instance take up `now` at an engine where it was `before`.
-    pub fn shift_peers_load(&mut self, id: &EndpointId, before: EngineLoad, now: EngineLoad) {
+    pub fn update_peers_load(&mut self, id: &EndpointId, before: EngineLoad, now: EngineLoad) {
         if let Some(known) = self.endpoints.get_mut(id) {
             known.peers_load = known.peers_load.minus(before).plus(now);
         }
     }
 
     /// Notes a trouble at an endpoint; returns whether it is on pause now and was not before.
-    pub fn troubled(&mut self, id: &EndpointId, trouble: Trouble, now_ms: u64) -> bool {
+    pub fn record_failure(
+        &mut self,
+        id: &EndpointId,
+        trouble: EndpointFailure,
+        now_ms: u64,
+    ) -> bool {
         let known = self.endpoints.get_mut(id);
-        known.is_some_and(|known| known.standing.troubled(trouble, now_ms))
+        known.is_some_and(|known| known.health.record_failure(trouble, now_ms))
     }
 
     /// Endpoints that a whole list does not name.
@@ -303,7 +314,7 @@
     fn write(
         &mut self,
         mut entry: ListedEndpoint,
-        path: &InfoPath,
+        path: &InfoSource,
         now_ms: u64,
         changes: &mut Vec<FleetChange>,
     ) {
@@ -384,7 +395,7 @@
     fn remove(
         &mut self,
         ids: &[EndpointId],
-        was_away: bool,
+        after_outage: bool,
         now_ms: u64,
         changes: &mut Vec<FleetChange>,
     ) {
@@ -395,11 +406,11 @@
             let Some(known) = self.endpoints.get_mut(id) else {
                 continue;
             };
-            if was_away {
+            if after_outage {
                 known.missing_since_ms.get_or_insert(now_ms);
             } else if known.missing_since_ms.is_none() {
                 self.endpoints.shift_remove(id);
-                changes.push(FleetChange::Gone(id.clone()));
+                changes.push(FleetChange::Removed(id.clone()));
             }
         }
     }
@@ -409,7 +420,7 @@
         let known = self.lifetimes_of(std::slice::from_ref(&entry.name));
         for id in known {
             if self.endpoints.shift_remove(&id).is_some() {
-                changes.push(FleetChange::Lapsed(id));
+                changes.push(FleetChange::Expired(id));
             }
         }
         if self.unusable.get(&entry.name) == Some(&entry.fault) {
@@ -431,7 +442,7 @@
                 .missing_since_ms
                 .is_some_and(|since| now_ms >= since + RELIST_MS);
             if overdue {
-                changes.push(FleetChange::Lapsed(id.clone()));
+                changes.push(FleetChange::Expired(id.clone()));
             }
             !overdue
         });
--- a/src/fleet/mod.rs
+++ b/src/fleet/mod.rs
@@ -3,21 +3,23 @@
 
 mod chain;
 mod entry;
-mod evidence;
-mod heard;
+mod fleet_pacing;
+mod health;
 #[cfg(test)]
 mod held_tests;
 mod known;
 #[cfg(test)]
 mod known_tests;
+mod last_heard;
 #[cfg(test)]
 mod lifetime_tests;
 mod listing;
 mod pacing;
-mod pacing_book;
-mod pacing_of_fleet;
+mod pacing_state;
 #[cfg(test)]
 mod pacing_tests;
+#[cfg(test)]
+mod peer_report_tests;
 mod provenance;
 #[cfg(test)]
 mod provenance_tests;
@@ -25,20 +27,18 @@
 mod replicas;
 #[cfg(test)]
 mod tests;
-#[cfg(test)]
-mod told_tests;
 
-pub use chain::{Chain, ChainAsk, ChainStage, first_gap, plan_chain, replace_stage};
+pub use chain::{Chain, ChainRequest, ChainStage, first_gap, plan_chain, replace_stage};
 pub use entry::{
-    EntryFault, FleetChange, ListedEndpoint, ListingRead, ListingScope, LiveAgain, LiveReason,
+    EntryError, FleetChange, ListedEndpoint, ListingRead, ListingScope, LiveAgain, LiveReason,
     Phase, UnusableEntry,
 };
-pub use evidence::{Standing, Trouble};
-pub use heard::Heard;
+pub use health::{EndpointFailure, EndpointHealth};
 pub use known::{EngineLoad, KnownEndpoint};
+pub use last_heard::LastHeard;
 pub use listing::Fleet;
-pub use pacing::{LimitWord, Pacing, PacingChange, ToldLimit};
-pub(crate) use pacing_book::{PacingBook, Permit};
-pub use provenance::{InfoPath, Provenance};
+pub use pacing::{LimitReport, Pacing, PacingChange, RateLimitUpdate};
+pub(crate) use pacing_state::{PacingState, Permit};
+pub use provenance::{InfoSource, Provenance};
 pub(crate) use provenance::{describe_known, describe_list};
 pub use replicas::pick_replica;
--- a/src/fleet/pacing.rs
+++ b/src/fleet/pacing.rs
@@ -6,21 +6,21 @@
 
 /// What one answer says of a rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum LimitWord {
+pub enum RateLimitUpdate {
     /// Nothing: what was said before holds. Failures and refusals need not repeat a limit.
     #[default]
-    Unsaid,
+    Unchanged,
     /// The endpoint names none.
     Unlimited,
     /// Requests a second that it takes from all instances together.
     PerSecond(f64),
 }
 
-impl LimitWord {
+impl RateLimitUpdate {
     /// The limit that holds from now on where `before_per_s` did.
     pub(super) fn follow(self, before_per_s: Option<f64>) -> Option<f64> {
         match self {
-            Self::Unsaid => before_per_s,
+            Self::Unchanged => before_per_s,
             Self::Unlimited => None,
             Self::PerSecond(per_s) => Some(per_s),
         }
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pacing {
     /// What it says of a rate limit.
-    pub limit: LimitWord,
+    pub limit: RateLimitUpdate,
     /// Time for which it wants no request from this instance, where it turned one away.
     pub back_off_ms: Option<u64>,
     /// It is leaving and takes no new work.
@@ -40,7 +40,7 @@
 
 impl Pacing {
     pub(super) fn asks_for_something(&self) -> bool {
-        let names_limit = matches!(self.limit, LimitWord::PerSecond(_));
+        let names_limit = matches!(self.limit, RateLimitUpdate::PerSecond(_));
         names_limit || self.back_off_ms.is_some() || self.is_leaving
     }
 }
@@ -66,7 +66,7 @@
 
 /// An endpoint's limit, as an instance that heard it tells the others.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct LimitReport {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Requests a second that it takes from all instances together; `None` if it names none any more.
--- a/src/fleet/pacing_book.rs
+++ b/src/fleet/pacing_state.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 
 use super::rate_limit::{Permits, effective_per_s};
-use super::{LimitWord, Pacing, PacingChange, ToldLimit};
+use super::{LimitReport, Pacing, PacingChange, RateLimitUpdate};
 use crate::ids::EndpointId;
 use crate::telling::{News, Rotation};
 
@@ -67,8 +67,8 @@
         before_per_s != limit_per_s
     }
 
-    fn told_limit(&self, id: &EndpointId, now_ms: u64) -> ToldLimit {
-        ToldLimit {
+    fn told_limit(&self, id: &EndpointId, now_ms: u64) -> LimitReport {
+        LimitReport {
             endpoint: id.clone(),
             limit_per_s: self.limit_per_s,
             age_ms: now_ms.saturating_sub(self.limit_said_ms),
@@ -95,7 +95,7 @@
 /// What endpoints have asked for. Kept beside the list of endpoints: an entry that lapses and comes back
 /// is of the same process, whose word still holds.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct PacingBook {
+pub(crate) struct PacingState {
     endpoints: IndexMap<EndpointId, Paced>,
     /// Endpoints whose limits were heard here and are news.
     news: News<EndpointId>,
@@ -103,9 +103,14 @@
     turn: Rotation,
 }
 
-impl PacingBook {
+impl PacingState {
     /// Takes what an answer of an endpoint says; returns what is new.
-    pub(crate) fn hear(&mut self, id: &EndpointId, said: Pacing, now_ms: u64) -> Vec<PacingChange> {
+    pub(crate) fn apply(
+        &mut self,
+        id: &EndpointId,
+        said: Pacing,
+        now_ms: u64,
+    ) -> Vec<PacingChange> {
         if !said.asks_for_something() && !self.endpoints.contains_key(id) {
             return Vec::new();
         }
@@ -115,7 +120,7 @@
         let before_per_s = known.limit_per_s;
         let now_per_s = said.limit.follow(before_per_s);
         let says_limit =
-            said.limit != LimitWord::Unsaid && (now_per_s, before_per_s) != (None, None);
+            said.limit != RateLimitUpdate::Unchanged && (now_per_s, before_per_s) != (None, None);
         if says_limit && known.set_limit(now_per_s, Source::Endpoint, now_ms) {
             if is_news(before_per_s, now_per_s) {
                 self.news.tell(id);
@@ -152,7 +157,7 @@
 
     /// Takes a limit that another instance has heard, if that is newer than what is known here; returns
     /// whether it is another limit.
-    pub(crate) fn hear_told(&mut self, told: &ToldLimit, now_ms: u64) -> bool {
+    pub(crate) fn apply_reports(&mut self, told: &LimitReport, now_ms: u64) -> bool {
         let said_ms = now_ms.saturating_sub(told.age_ms);
         let known = self.endpoints.entry(told.endpoint.clone()).or_default();
         known.seen_ms = now_ms;
@@ -168,12 +173,12 @@
     }
 
     /// Whether others are to be told something at once.
-    pub(crate) fn has_untold_news(&self) -> bool {
+    pub(crate) fn has_unsent_updates(&self) -> bool {
         self.news.has_untold()
     }
 
     /// Limits for the next heartbeat: news a few times, and in turn what was lately heard here.
-    pub(crate) fn next_told(&mut self, now_ms: u64) -> Vec<ToldLimit> {
+    pub(crate) fn next_reports(&mut self, now_ms: u64) -> Vec<LimitReport> {
         let in_turn = self.endpoints.iter().filter(|(id, it)| {
             let is_news = self.news.contains(id);
             !is_news && it.is_told_in_turn(now_ms)
@@ -225,7 +230,7 @@
     }
 
     /// Takes a permit for a request, where one is needed.
-    pub(crate) fn take_permit(&mut self, id: &EndpointId, now_ms: u64) -> Permit {
+    pub(crate) fn acquire_permit(&mut self, id: &EndpointId, now_ms: u64) -> Permit {
         if self.is_backing_off(id, now_ms) {
             return Permit::Missing;
         }
@@ -243,10 +248,15 @@
 
     /// The permit with which a request may be sent, where `permit` was taken before there was a connection:
     /// the endpoint may have said more since.
-    pub(crate) fn renew_permit(&mut self, id: &EndpointId, permit: Permit, now_ms: u64) -> Permit {
+    pub(crate) fn recheck_permit(
+        &mut self,
+        id: &EndpointId,
+        permit: Permit,
+        now_ms: u64,
+    ) -> Permit {
         match permit {
             Permit::Held if !self.is_backing_off(id, now_ms) => Permit::Held,
-            Permit::NotNeeded => self.take_permit(id, now_ms),
+            Permit::NotNeeded => self.acquire_permit(id, now_ms),
             Permit::Held | Permit::Missing => Permit::Missing,
         }
     }
@@ -257,7 +267,7 @@
     }
 
     /// Puts a permit back with which nothing was sent.
-    pub(crate) fn give_permit_back(&mut self, id: &EndpointId, permit: Permit) {
+    pub(crate) fn return_permit(&mut self, id: &EndpointId, permit: Permit) {
         let known = self.endpoints.get_mut(id);
         if let Some(known) = known.filter(|_| permit == Permit::Held) {
             known.permits.give_back();
--- a/src/fleet/told_tests.rs
+++ b/src/fleet/peer_report_tests.rs
@@ -9,9 +9,9 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
-    assert!(fleet.told_leaving(&teller(), &a, 100));
-    assert!(!fleet.told_leaving(&teller(), &a, 200));
-    fleet.settle(10_000);
+    assert!(fleet.record_peer_leaving(&teller(), &a, 100));
+    assert!(!fleet.record_peer_leaving(&teller(), &a, 200));
+    fleet.expire(10_000);
     assert_eq!(
         phase(&fleet),
         Some(Phase::Leaving),
@@ -24,19 +24,19 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
-    fleet.told_leaving(&teller(), &a, 100);
+    fleet.record_peer_leaving(&teller(), &a, 100);
     let removed = ListingRead::changes(vec![], vec![a.name()]);
-    fleet.take(removed, false, 200);
+    fleet.apply_read(removed, false, 200);
     assert_eq!(phase(&fleet), None);
     let back = ListingRead::changes(vec![listed("a", "lac", None)], vec![]);
-    fleet.take(back, false, 800);
+    fleet.apply_read(back, false, 800);
     fleet.confirm(790);
     assert_eq!(
         phase(&fleet),
         Some(Phase::Leaving),
         "the read may have been under way"
     );
-    fleet.settle(1_700);
+    fleet.expire(1_700);
     assert_eq!(phase(&fleet), Some(Phase::Live));
 }
 
@@ -45,15 +45,15 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     // The peer has seen it missing for a moment that this instance's read never showed.
-    fleet.told_leaving(&teller(), &EndpointId::from("a"), 100);
+    fleet.record_peer_leaving(&teller(), &EndpointId::from("a"), 100);
     let nothing = ListingRead::changes(vec![], vec![]);
-    fleet.take(nothing.clone(), false, 1_500);
+    fleet.apply_read(nothing.clone(), false, 1_500);
     fleet.confirm(1_400);
-    fleet.settle(1_700);
+    fleet.expire(1_700);
     assert_eq!(phase(&fleet), Some(Phase::Leaving));
-    fleet.take(nothing, false, 1_900);
+    fleet.apply_read(nothing, false, 1_900);
     fleet.confirm(1_800);
-    fleet.settle(1_900);
+    fleet.expire(1_900);
     assert_eq!(phase(&fleet), Some(Phase::Live));
 }
 
@@ -64,14 +64,14 @@
 fn a_peers_word_on_a_leaving_endpoint_outlasts_an_older_list() {
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
-    fleet.told_leaving(&teller(), &EndpointId::from("a"), 100);
-    fleet.take_from_peer(&teller(), vec![listed("a", "lac", None)], 300);
+    fleet.record_peer_leaving(&teller(), &EndpointId::from("a"), 100);
+    fleet.apply_peer_list(&teller(), vec![listed("a", "lac", None)], 300);
     fleet.confirm(50);
-    fleet.settle(1_700);
+    fleet.expire(1_700);
     assert_eq!(phase(&fleet), Some(Phase::Leaving));
     // One that is as new as the word shows that the endpoint was only out of the list's reach.
     fleet.confirm(200);
-    fleet.settle(1_900);
+    fleet.expire(1_900);
     assert_eq!(phase(&fleet), Some(Phase::Live));
 }
 
@@ -85,14 +85,14 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
-    fleet.take(ListingRead::changes(vec![], vec![a.name()]), true, 100);
-    fleet.told_leaving(&teller(), &a, 110);
+    fleet.apply_read(ListingRead::changes(vec![], vec![a.name()]), true, 100);
+    fleet.record_peer_leaving(&teller(), &a, 110);
     fleet.confirm(1_900);
-    fleet.settle(1_900);
+    fleet.expire(1_900);
     assert_eq!(phase(&fleet), Some(Phase::Leaving));
     // The entry had only lapsed: it is listed again.
     let back = ListingRead::changes(vec![listed("a", "lac", None)], vec![]);
-    fleet.take(back, false, 2_000);
+    fleet.apply_read(back, false, 2_000);
     assert_eq!(phase(&fleet), Some(Phase::Live));
 }
 
@@ -108,11 +108,11 @@
     };
     let mut fleet = fleet(vec![leaving, listed("b", "lac", None)]);
     let of_peer = || vec![listed("a", "lac", None), listed("c", "lac", None)];
-    fleet.take_from_peer(&teller(), of_peer(), 100);
+    fleet.apply_peer_list(&teller(), of_peer(), 100);
     assert_eq!(phase(&fleet, "a"), Some(Phase::Leaving));
     assert_eq!(phase(&fleet, "b"), Some(Phase::Live), "held for a while");
     assert_eq!(phase(&fleet, "c"), Some(Phase::Live));
-    fleet.take_from_peer(&teller(), of_peer(), 2_500);
+    fleet.apply_peer_list(&teller(), of_peer(), 2_500);
     assert_eq!(phase(&fleet, "b"), None);
 }
 
@@ -120,9 +120,15 @@
 fn a_list_handed_to_a_peer_says_only_what_was_read() {
     let mut fleet = fleet(vec![listed("a", "lac", Some(range(0, 10)))]);
     let a = EndpointId::from("a");
-    fleet.told_leaving(&teller(), &a, 100);
-    fleet.get_mut(&a).expect("listed").said_layers(None, 100);
-    assert_eq!(fleet.listing(), [listed("a", "lac", Some(range(0, 10)))]);
+    fleet.record_peer_leaving(&teller(), &a, 100);
+    fleet
+        .get_mut(&a)
+        .expect("listed")
+        .set_reported_layers(None, 100);
+    assert_eq!(
+        fleet.listed_endpoints(),
+        [listed("a", "lac", Some(range(0, 10)))]
+    );
 }
 
 #[test]
@@ -136,20 +142,20 @@
     for is_told in [false, true] {
         let mut fleet = fleet(vec![listed("a", "lac", None)]);
         if is_told {
-            assert!(fleet.told_said_leaving(&a, 100));
-            assert!(!fleet.told_said_leaving(&a, 150));
+            assert!(fleet.record_announced_leaving(&a, 100));
+            assert!(!fleet.record_announced_leaving(&a, 150));
         } else {
-            fleet.hear_pacing(&a, said, 100);
+            fleet.apply_pacing(&a, said, 100);
         }
-        fleet.told_leaving(&teller(), &a, 200);
-        fleet.hear_pacing(&a, Pacing::default(), 300);
+        fleet.record_peer_leaving(&teller(), &a, 200);
+        fleet.apply_pacing(&a, Pacing::default(), 300);
         let removed = ListingRead::changes(vec![], vec![a.name()]);
-        fleet.take(removed, false, 400);
+        fleet.apply_read(removed, false, 400);
         for at_ms in [3_000, 60_000, 200_000] {
             let back = ListingRead::changes(vec![listed("a", "lac", None)], vec![]);
-            fleet.take(back, false, at_ms);
+            fleet.apply_read(back, false, at_ms);
             fleet.confirm(at_ms);
-            fleet.settle(at_ms + 5_000);
+            fleet.expire(at_ms + 5_000);
             assert_eq!(phase(&fleet), Some(Phase::Leaving));
         }
     }
--- a/src/fleet/provenance.rs
+++ b/src/fleet/provenance.rs
@@ -10,7 +10,7 @@
 
 /// By which path information on endpoints reached this instance.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum InfoPath {
+pub enum InfoSource {
     /// A read of the platform's store by this instance.
     #[default]
     Store,
@@ -20,7 +20,7 @@
     Heartbeat(InstanceId),
 }
 
-impl fmt::Display for InfoPath {
+impl fmt::Display for InfoSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Store => f.write_str("store"),
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Provenance {
     /// By which path.
-    pub path: InfoPath,
+    pub path: InfoSource,
     /// When.
     pub at_ms: u64,
 }
@@ -74,5 +74,5 @@
 
 /// By which path the list was last known to be the newest, and its age, as `PATH:AGEms`.
 pub(crate) fn describe_list(fleet: &Fleet, now_ms: u64) -> String {
-    format!("{}:{}ms", fleet.list_path(), fleet.age_ms(now_ms))
+    format!("{}:{}ms", fleet.list_source(), fleet.age_ms(now_ms))
 }
--- a/src/fleet/provenance_tests.rs
+++ b/src/fleet/provenance_tests.rs
@@ -20,7 +20,7 @@
 fn fleet(ids: &[&str]) -> Fleet {
     let mut fleet = Fleet::default();
     let entries = ids.iter().map(|id| listed(id)).collect();
-    fleet.take(ListingRead::whole(entries), false, 0);
+    fleet.apply_read(ListingRead::full(entries), false, 0);
     fleet
 }
 
@@ -43,7 +43,7 @@
 fn a_read_that_does_not_name_an_endpoint_is_no_news_of_it() {
     let mut fleet = fleet(&["a", "b"]);
     let read = ListingRead::changes(vec![listed("b")], vec![]);
-    fleet.take(read, false, 300);
+    fleet.apply_read(read, false, 300);
     assert_eq!(
         known(&fleet, &["a", "b"], 400),
         "a=store:400ms,b=store:100ms"
@@ -53,10 +53,10 @@
 #[test]
 fn word_out_of_a_peers_list_names_the_peer() {
     let mut fleet = fleet(&["a", "b"]);
-    fleet.take_from_peer(&peer(), vec![listed("a")], 100);
-    let path = InfoPath::PeerList(peer());
+    fleet.apply_peer_list(&peer(), vec![listed("a")], 100);
+    let path = InfoSource::PeerList(peer());
     let read = ListingRead::changes(vec![listed("b")], vec![]);
-    fleet.take_by(&path, read, false, 150);
+    fleet.apply_read_from(&path, read, false, 150);
     let expected = "a=list@front-3:100ms,b=list@front-3:50ms";
     assert_eq!(known(&fleet, &["a", "b"], 200), expected);
 }
@@ -65,8 +65,8 @@
 fn a_peers_word_that_an_endpoint_leaves_is_of_its_first_heartbeat() {
     let mut fleet = fleet(&["a"]);
     let a = EndpointId::from("a");
-    fleet.told_leaving(&peer(), &a, 100);
-    fleet.told_leaving(&InstanceId::from("front-4"), &a, 180);
+    fleet.record_peer_leaving(&peer(), &a, 100);
+    fleet.record_peer_leaving(&InstanceId::from("front-4"), &a, 180);
     assert_eq!(known(&fleet, &["a"], 200), "a=heartbeat@front-3:100ms");
 }
 
@@ -91,18 +91,18 @@
     let mut fleet = fleet(&["a"]);
     fleet.confirm(100);
     assert_eq!(describe_list(&fleet, 300), "store:200ms");
-    fleet.confirm_by(InfoPath::Heartbeat(peer()), 250);
+    fleet.confirm_from(InfoSource::Heartbeat(peer()), 250);
     assert_eq!(describe_list(&fleet, 300), "heartbeat@front-3:50ms");
     // An older word changes neither.
-    fleet.confirm_by(InfoPath::PeerList(InstanceId::from("front-4")), 240);
+    fleet.confirm_from(InfoSource::PeerList(InstanceId::from("front-4")), 240);
     assert_eq!(describe_list(&fleet, 300), "heartbeat@front-3:50ms");
 }
 
-fn live_again(told_ms: u64, reason: LiveReason) -> FleetChange {
+fn live_again(reported_ms: u64, reason: LiveReason) -> FleetChange {
     FleetChange::LiveAgain(LiveAgain {
         endpoint: EndpointId::from("a"),
-        told_by: peer(),
-        told_ms,
+        reported_by: peer(),
+        reported_ms,
         reason,
     })
 }
@@ -110,35 +110,35 @@
 #[test]
 fn an_endpoint_that_the_list_has_shown_since_is_live_again_for_that_reason() {
     let mut fleet = fleet(&["a"]);
-    fleet.told_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
     let read = ListingRead::changes(vec![listed("a")], vec![]);
-    assert_eq!(fleet.take(read, false, 800), vec![]);
+    assert_eq!(fleet.apply_read(read, false, 800), vec![]);
     fleet.confirm(790);
     let expected = live_again(100, LiveReason::ListedSince);
-    assert_eq!(fleet.settle(1_700), vec![expected]);
-    assert_eq!(fleet.settle(1_900), vec![], "it is said once");
+    assert_eq!(fleet.expire(1_700), vec![expected]);
+    assert_eq!(fleet.expire(1_900), vec![], "it is said once");
 }
 
 #[test]
 fn an_endpoint_that_was_never_missing_is_live_again_for_that_reason() {
     let mut fleet = fleet(&["a"]);
-    fleet.told_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
     fleet.confirm(1_800);
     let expected = live_again(100, LiveReason::NeverMissing);
     let nothing = ListingRead::changes(vec![], vec![]);
-    assert_eq!(fleet.take(nothing, false, 1_900), vec![expected]);
+    assert_eq!(fleet.apply_read(nothing, false, 1_900), vec![expected]);
 }
 
 #[test]
 fn an_endpoint_that_the_list_shows_leaving_is_not_live_again() {
     let mut fleet = fleet(&["a"]);
-    fleet.told_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
     let leaving = ListedEndpoint {
         phase: Phase::Leaving,
         ..listed("a")
     };
     let read = ListingRead::changes(vec![leaving], vec![]);
-    fleet.take(read, false, 800);
+    fleet.apply_read(read, false, 800);
     fleet.confirm(9_000);
-    assert_eq!(fleet.settle(9_000), vec![]);
+    assert_eq!(fleet.expire(9_000), vec![]);
 }
--- a/src/fleet/replicas.rs
+++ b/src/fleet/replicas.rs
@@ -50,13 +50,13 @@
     } else {
         OTHER_ZONE
     };
-    let paused = if known.standing.is_paused(now_ms) {
+    let paused = if known.health.is_paused(now_ms) {
         PAUSED
     } else {
         0.0
     };
     // Time to get through what waits there; the mean of those never measured is taken as usual.
-    let pace = known.standing.latency_ms().unwrap_or(30.0).max(1.0) / 30.0;
+    let pace = known.health.latency_ms().unwrap_or(30.0).max(1.0) / 30.0;
     let held = if known.is_held() { HELD } else { 0.0 };
     (waiting + 1.0 + away) * pace + paused + held
 }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -33,7 +33,7 @@
 
 pub(super) fn fleet(entries: Vec<ListedEndpoint>) -> Fleet {
     let mut fleet = Fleet::default();
-    fleet.take(ListingRead::whole(entries), false, 0);
+    fleet.apply_read(ListingRead::full(entries), false, 0);
     fleet
 }
 
@@ -59,7 +59,7 @@
 
 pub(super) fn plan(fleet: &Fleet, excluded: &[&str]) -> Option<Vec<String>> {
     let excluded: IndexSet<EndpointId> = excluded.iter().map(|id| EndpointId::from(*id)).collect();
-    let ask = ChainAsk {
+    let ask = ChainRequest {
         service: &ServiceName::from("menu-mind"),
         model: &model(),
         own_zone: &ZoneName::from("lac"),
@@ -105,11 +105,11 @@
         listed("a", "lac", Some(range(0, 20))),
         listed("b", "marsa", Some(range(0, 20))),
     ]);
-    assert!(fleet.troubled(&EndpointId::from("a"), Trouble::Unreachable, 100));
+    assert!(fleet.record_failure(&EndpointId::from("a"), EndpointFailure::Unreachable, 100));
     assert_eq!(plan(&fleet, &[]), Some(vec!["b 0-20".to_owned()]));
     let known = fleet.get_mut(&EndpointId::from("a")).expect("listed");
-    assert!(!known.standing.needs_check(1_000) && known.standing.needs_check(1_100));
-    known.standing.clear();
+    assert!(!known.health.needs_check(1_000) && known.health.needs_check(1_100));
+    known.health.clear();
     assert_eq!(plan(&fleet, &[]), Some(vec!["a 0-20".to_owned()]));
 }
 
@@ -128,7 +128,7 @@
             .layers = Some(layers);
     }
     let end = listed("c", "lac", Some(range(10, 20)));
-    fleet.take(ListingRead::changes(vec![end], vec![]), false, 0);
+    fleet.apply_read(ListingRead::changes(vec![end], vec![]), false, 0);
     fleet
         .get_mut(&EndpointId::from("a"))
         .expect("listed")
@@ -148,13 +148,13 @@
     let first = |fleet: &Fleet| plan(fleet, &[]).map(|stages| stages[0].clone());
     assert_eq!(first(&fleet).as_deref(), Some("a 0-14"));
     let b = fleet.get_mut(&EndpointId::from("b")).expect("listed");
-    b.standing.was_full(0);
+    b.health.record_full(0);
     assert_eq!(first(&fleet).as_deref(), Some("c 0-14"));
     assert!(
         !fleet
             .get(&EndpointId::from("b"))
             .expect("listed")
-            .standing
+            .health
             .is_full(400)
     );
 }
@@ -180,15 +180,18 @@
     let held = |fleet: &Fleet| fleet.iter().next().and_then(|known| known.listed.layers);
     let mut fleet = fleet(vec![listed("a", "lac", Some(range(0, 10)))]);
     let a = EndpointId::from("a");
-    fleet.get_mut(&a).expect("listed").said_layers(None, 1_000);
+    fleet
+        .get_mut(&a)
+        .expect("listed")
+        .set_reported_layers(None, 1_000);
     // The list shows what the engine held before, and then once, early, what it holds now.
     let written = |layers| ListingRead::changes(vec![listed("a", "lac", layers)], vec![]);
-    fleet.take(written(Some(range(0, 10))), false, 1_500);
+    fleet.apply_read(written(Some(range(0, 10))), false, 1_500);
     assert_eq!(held(&fleet), None);
-    fleet.take(written(Some(range(10, 20))), false, 2_000);
-    fleet.settle(2_400);
+    fleet.apply_read(written(Some(range(10, 20))), false, 2_000);
+    fleet.expire(2_400);
     assert_eq!(held(&fleet), None);
-    fleet.settle(2_600);
+    fleet.expire(2_600);
     assert_eq!(held(&fleet), Some(range(10, 20)));
 }
 
@@ -230,7 +233,7 @@
 }
 
 fn without(fleet: &Fleet, chain: &Chain, lost: &str) -> Option<String> {
-    let ask = ChainAsk {
+    let ask = ChainRequest {
         service: &ServiceName::from("menu-mind"),
         model: &model(),
         own_zone: &ZoneName::from("lac"),
@@ -248,11 +251,11 @@
     let replaced = Some("a1=0-6,b2=6-13,c1=13-20".to_owned());
     assert_eq!(without(&fleet, &chain, "b1"), replaced);
     // A stage that takes no new work goes on with what it has.
-    fleet.told_leaving(&teller(), &EndpointId::from("c1"), 0);
-    fleet.told_leaving(&teller(), &EndpointId::from("c2"), 0);
+    fleet.record_peer_leaving(&teller(), &EndpointId::from("c1"), 0);
+    fleet.record_peer_leaving(&teller(), &EndpointId::from("c2"), 0);
     assert_eq!(plan(&fleet, &["b1"]), None);
     assert_eq!(without(&fleet, &chain, "b1"), replaced);
-    fleet.told_leaving(&teller(), &EndpointId::from("b2"), 0);
+    fleet.record_peer_leaving(&teller(), &EndpointId::from("b2"), 0);
     assert_eq!(without(&fleet, &chain, "b1"), None);
 }
 
@@ -269,7 +272,7 @@
     d.held_token_layers = 900_000;
     assert_eq!(plan(&fleet, &[]).expect("held")[0], "a 0-10");
     let a = fleet.get_mut(&id("a")).expect("listed");
-    a.standing.was_full(0);
+    a.health.record_full(0);
     assert_eq!(plan(&fleet, &[]).expect("held")[0], "c 0-10");
 }
 
@@ -302,7 +305,7 @@
     let id = EndpointId::from("a");
     fleet.set_peers_load(&IndexMap::from([(id.clone(), taken(6))]));
     assert_eq!(first(&fleet).as_deref(), Some("b 0-10"));
-    fleet.shift_peers_load(&id, taken(6), taken(0));
+    fleet.update_peers_load(&id, taken(6), taken(0));
     assert_eq!(first(&fleet).as_deref(), Some("a 0-10"));
     fleet.get_mut(&id).expect("listed").in_flight = 5;
     assert_eq!(
--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -22,11 +22,11 @@
 /// Added by those who wait for a lease to run out: two clocks may differ by a tenth.
 pub(crate) const MARGIN_MS: u64 = 1_000;
 /// The longest time an order can be under way to an engine.
-pub(crate) const ORDER_LIMIT_MS: u64 = 5_000;
+pub(crate) const MAX_ORDER_DELAY_MS: u64 = 5_000;
 
 /// Times of a lease. All processes that may hold it must go by the same ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct LeaseTimes {
+pub(crate) struct LeaseTiming {
     /// How long the lease holds without renewal.
     pub(crate) lease_ms: u64,
     /// Added by those who wait for it to run out: two clocks may differ by a tenth.
@@ -39,7 +39,7 @@
     pub(crate) retry_ms: u64,
 }
 
-impl Default for LeaseTimes {
+impl Default for LeaseTiming {
     fn default() -> Self {
         Self {
             lease_ms: LEASE_MS,
@@ -116,7 +116,7 @@
 /// The lease of one service, as one process works on it.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
-    times: LeaseTimes,
+    times: LeaseTiming,
     service: ServiceName,
     instance: InstanceId,
     incarnation: Incarnation,
@@ -145,7 +145,7 @@
         instance: InstanceId,
         incarnation: Incarnation,
     ) -> Self {
-        Self::with_times(service, instance, incarnation, LeaseTimes::default())
+        Self::with_times(service, instance, incarnation, LeaseTiming::default())
     }
 
     /// The same under other times.
@@ -153,7 +153,7 @@
         service: ServiceName,
         instance: InstanceId,
         incarnation: Incarnation,
-        times: LeaseTimes,
+        times: LeaseTiming,
     ) -> Self {
         Self {
             times,
@@ -195,7 +195,7 @@
     /// Takes word that the holder under this fencing number gives no more orders, or that engines
     /// turn away those that it may still give: its time is not waited out. At engines that ignore
     /// fencing numbers its orders under way are. Returns whether that is news.
-    pub(crate) fn ended(&mut self, fence: u64) -> bool {
+    pub(crate) fn record_holder_ended(&mut self, fence: u64) -> bool {
         let is_news = fence > self.ended_fence;
         if is_news {
             self.ended_fence = fence;
@@ -215,7 +215,11 @@
 
     /// The lease, if an order may be sent under it now. Where engines ignore the fencing number,
     /// orders of the last holder may still be under way for a while.
-    pub(crate) fn may_order(&self, engines_check_fence: bool, now_ms: u64) -> Option<HeldLease> {
+    pub(crate) fn may_send_orders(
+        &self,
+        engines_check_fence: bool,
+        now_ms: u64,
+    ) -> Option<HeldLease> {
         let unfenced_from_ms = self.holding?.unfenced_from_ms;
         let waited = engines_check_fence || now_ms >= unfenced_from_ms;
         self.held(now_ms).filter(|_| waited)
@@ -289,7 +293,7 @@
         let last = self.seen.as_ref();
         let fence = last.map_or(0, |seen| seen.row.fence).max(self.lost_fence) + 1;
         let was_idle = last.is_none_or(|seen| seen.row.released || seen.row.fence == 0);
-        let wait_ms = if was_idle { 0 } else { ORDER_LIMIT_MS };
+        let wait_ms = if was_idle { 0 } else { MAX_ORDER_DELAY_MS };
         let version = last.map(|seen| seen.version).filter(|version| *version > 0);
         self.sent = Some(Sent {
             fence,
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use super::{LEASE_MS, Lease, LeaseEvent, ORDER_LIMIT_MS};
+use super::{LEASE_MS, Lease, LeaseEvent, MAX_ORDER_DELAY_MS};
 use crate::clients::TableFailure;
 use crate::control::tests::fake_table::FakeTable;
 use crate::ids::{Incarnation, InstanceId, ServiceName};
@@ -194,8 +194,11 @@
     let mut world = held_by_the_first();
     let holder = world.leases[1].holder().expect("it was read");
     assert_eq!((holder.fence, holder.has_renewed), (1, false));
-    assert!(world.leases[1].ended(holder.fence));
-    assert!(!world.leases[1].ended(holder.fence), "that is known");
+    assert!(world.leases[1].record_holder_ended(holder.fence));
+    assert!(
+        !world.leases[1].record_holder_ended(holder.fence),
+        "that is known"
+    );
     drive(&mut world, 1, 300);
     assert_eq!(world.taken, [(1, 0), (2, 1)]);
 }
@@ -227,10 +230,18 @@
     while world.taken.len() < 2 {
         drive(&mut world, 1, 100);
     }
-    assert!(world.leases[1].may_order(true, world.now_ms).is_some());
-    assert_eq!(world.leases[1].may_order(false, world.now_ms), None);
-    drive(&mut world, 1, ORDER_LIMIT_MS);
-    assert!(world.leases[1].may_order(false, world.now_ms).is_some());
+    assert!(
+        world.leases[1]
+            .may_send_orders(true, world.now_ms)
+            .is_some()
+    );
+    assert_eq!(world.leases[1].may_send_orders(false, world.now_ms), None);
+    drive(&mut world, 1, MAX_ORDER_DELAY_MS);
+    assert!(
+        world.leases[1]
+            .may_send_orders(false, world.now_ms)
+            .is_some()
+    );
 }
 
 #[test]
--- a/src/placement/spread.rs
+++ b/src/placement/coverage.rs
@@ -17,7 +17,7 @@
     /// Tokens times layers of requests that it has in memory. A move waits for them to end.
     pub held_token_layers: u64,
     /// Whether it is so slow that its layers need another holder as if it held none.
-    pub is_crawling: bool,
+    pub is_very_slow: bool,
 }
 
 /// A range of layers and how slow its holder is.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -5,11 +5,11 @@
 //! Layers are spread inside each availability zone, since the links between zones cannot carry
 //! every request's activations.
 
-mod duty;
+mod coverage;
+mod planner;
 mod sizing;
-mod spread;
 #[cfg(test)]
 mod tests;
 
-pub use duty::{PlaceOrder, PlacementDuty};
-pub use spread::PlacedEngine;
+pub use coverage::PlacedEngine;
+pub use planner::{PlacementOrder, PlacementPlanner};
--- a/src/placement/duty.rs
+++ b/src/placement/planner.rs
@@ -4,8 +4,8 @@
 
 use indexmap::{IndexMap, IndexSet};
 
+use super::coverage::{Coverage, HeldRange, PlacedEngine};
 use super::sizing::{LayerCounts, layer_counts};
-use super::spread::{Coverage, HeldRange, PlacedEngine};
 use crate::ids::{EndpointId, ZoneName};
 use crate::invariant;
 use crate::route_table::EngineModel;
@@ -23,7 +23,7 @@
 
 /// An order to one engine to hold a range of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceOrder {
+pub struct PlacementOrder {
     /// Engine.
     pub endpoint: EndpointId,
     /// Layers that it is to hold, and no others.
@@ -40,7 +40,7 @@
 
 /// The placement of one model's layers, as the process that holds the lease works on it.
 #[derive(Clone, Debug, Default)]
-pub struct PlacementDuty {
+pub struct PlacementPlanner {
     ordered: IndexMap<EndpointId, Ordered>,
     /// Engines that did not take an order, and when they may be given one again.
     refused_until_ms: IndexMap<EndpointId, u64>,
@@ -48,14 +48,14 @@
     hole_since_ms: IndexMap<ZoneName, u64>,
 }
 
-impl PlacementDuty {
+impl PlacementPlanner {
     /// The orders that are due now; [`Self::given`] says which of them were given.
-    pub fn due(
+    pub fn due_orders(
         &mut self,
         engines: &[PlacedEngine],
         model: &EngineModel,
         now_ms: u64,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         self.settle(engines, now_ms);
         let zones: IndexSet<&ZoneName> = engines.iter().map(|engine| &engine.zone).collect();
         let mut orders = Vec::new();
@@ -74,9 +74,9 @@
 
     /// Notes that an order was given: it is under way from here on. `engines` are those that it was
     /// worked out from.
-    pub fn given(
+    pub fn order_sent(
         &mut self,
-        order: PlaceOrder,
+        order: PlacementOrder,
         engines: &[PlacedEngine],
         model: &EngineModel,
         now_ms: u64,
@@ -87,7 +87,7 @@
     }
 
     /// Notes that an engine did not take an order.
-    pub fn refused(&mut self, endpoint: &EndpointId, now_ms: u64) {
+    pub fn order_refused(&mut self, endpoint: &EndpointId, now_ms: u64) {
         self.ordered.shift_remove(endpoint);
         let until_ms = now_ms + REFUSED_PAUSE_MS;
         self.refused_until_ms.insert(endpoint.clone(), until_ms);
@@ -95,16 +95,16 @@
 
     /// Forgets since when layers have had no holder: another process looks after them now, and what
     /// becomes of them is not seen here.
-    pub fn rest(&mut self) {
+    pub fn reset_uncovered_timers(&mut self) {
         self.hole_since_ms.clear();
     }
 
     /// Takes word of an order that another process gave.
-    pub fn heard(&mut self, order: PlaceOrder, model: &EngineModel, now_ms: u64) {
+    pub fn order_reported(&mut self, order: PlacementOrder, model: &EngineModel, now_ms: u64) {
         self.note(order, true, model, now_ms);
     }
 
-    fn note(&mut self, order: PlaceOrder, is_move: bool, model: &EngineModel, now_ms: u64) {
+    fn note(&mut self, order: PlacementOrder, is_move: bool, model: &EngineModel, now_ms: u64) {
         let share = u64::from(order.layers.len()) * model.load_ms;
         let load_ms = share / u64::from(model.layers.max(1));
         let ordered = Ordered {
@@ -140,9 +140,9 @@
         engines: &[&PlacedEngine],
         model: &EngineModel,
         now_ms: u64,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         let counts = layer_counts(engines, model);
-        let sound = engines.iter().filter(|engine| !engine.is_crawling);
+        let sound = engines.iter().filter(|engine| !engine.is_very_slow);
         let held = sound.filter_map(|engine| self.held_range(engine, model));
         let mut coverage = Coverage::of(model.layers, held);
         let mut orders = self.fill_empty(engines, &counts, &mut coverage, model);
@@ -173,7 +173,7 @@
         counts: &LayerCounts,
         coverage: &mut Coverage,
         model: &EngineModel,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         let is_empty = |it: &&PlacedEngine| self.future(it).is_none() && self.may_order(it);
         let mut empty: Vec<&PlacedEngine> = engines.iter().copied().filter(is_empty).collect();
         empty.sort_by(|a, b| first_to_place(a, b, counts, model));
@@ -196,7 +196,7 @@
             }
             if let Some(range) = range {
                 coverage.add(range);
-                orders.push(PlaceOrder {
+                orders.push(PlacementOrder {
                     endpoint: engine.id.clone(),
                     layers: range.layers,
                 });
@@ -219,17 +219,17 @@
         counts: &LayerCounts,
         coverage: &Coverage,
         model: &EngineModel,
-    ) -> Option<PlaceOrder> {
+    ) -> Option<PlacementOrder> {
         let before = coverage.holes();
-        let mut best: Option<((u32, u64), PlaceOrder)> = None;
-        let fit = |engine: &&&PlacedEngine| !engine.is_crawling && self.may_order(engine);
+        let mut best: Option<((u32, u64), PlacementOrder)> = None;
+        let fit = |engine: &&&PlacedEngine| !engine.is_very_slow && self.may_order(engine);
         for engine in engines.iter().filter(fit) {
             let (Some(_), Some(count)) = (self.future(engine), counts.as_only_holder(&engine.id))
             else {
                 continue;
             };
             let others = engines.iter().filter(|other| other.id != engine.id);
-            let others = others.filter(|other| !other.is_crawling);
+            let others = others.filter(|other| !other.is_very_slow);
             let others = others.filter_map(|other| self.held_range(other, model));
             let mut without = Coverage::of(model.layers, others);
             let Some(target) = without.neediest(count, step_factor(engine, model)) else {
@@ -239,7 +239,7 @@
             let after = without.holes();
             let rank = (after, engine.held_token_layers);
             if after < before && best.as_ref().is_none_or(|(least, _)| rank < *least) {
-                let order = PlaceOrder {
+                let order = PlacementOrder {
                     endpoint: engine.id.clone(),
                     layers: target.layers,
                 };
@@ -256,11 +256,11 @@
         engines: &[&PlacedEngine],
         counts: &LayerCounts,
         model: &EngineModel,
-    ) -> Vec<PlaceOrder> {
+    ) -> Vec<PlacementOrder> {
         let count_of = |engine: &PlacedEngine| counts.as_only_holder(&engine.id).unwrap_or(0);
         let mut left: Vec<&&PlacedEngine> = engines
             .iter()
-            .filter(|engine| !engine.is_crawling && self.may_order(engine))
+            .filter(|engine| !engine.is_very_slow && self.may_order(engine))
             // An engine of a kind that the table does not name can hold none.
             .filter(|engine| count_of(engine) > 0)
             .collect();
@@ -281,7 +281,7 @@
             let layers = window_from(next, count_of(engine), model.layers);
             next = layers.end;
             if self.future(engine) != Some(layers) {
-                orders.push(PlaceOrder {
+                orders.push(PlacementOrder {
                     endpoint: engine.id.clone(),
                     layers,
                 });
@@ -361,7 +361,7 @@
     a.end.min(b.end).saturating_sub(a.first.max(b.first))
 }
 
-fn check_memory(order: &PlaceOrder, engines: &[PlacedEngine], model: &EngineModel) {
+fn check_memory(order: &PlacementOrder, engines: &[PlacedEngine], model: &EngineModel) {
     let kind = engines
         .iter()
         .find(|engine| engine.id == order.endpoint)
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -41,7 +41,7 @@
                 kind: kind.to_owned(),
                 layers: None,
                 held_token_layers: 0,
-                is_crawling: false,
+                is_very_slow: false,
             });
         }
     }
@@ -49,17 +49,17 @@
 }
 
 /// Gives the orders that are due.
-fn give(duty: &mut PlacementDuty, engines: &[PlacedEngine], now_ms: u64) -> Vec<PlaceOrder> {
-    let orders = duty.due(engines, &model(), now_ms);
+fn give(duty: &mut PlacementPlanner, engines: &[PlacedEngine], now_ms: u64) -> Vec<PlacementOrder> {
+    let orders = duty.due_orders(engines, &model(), now_ms);
     for order in &orders {
-        duty.given(order.clone(), engines, &model(), now_ms);
+        duty.order_sent(order.clone(), engines, &model(), now_ms);
     }
     orders
 }
 
 /// Carries out all orders until none is due.
 fn carry_out(engines: &mut [PlacedEngine], now_ms: u64) -> usize {
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     let mut carried_out = 0;
     for round in 0..50 {
         let orders = give(&mut duty, engines, now_ms + round * 10_000);
@@ -72,7 +72,7 @@
     panic!("orders never end");
 }
 
-fn place(engines: &mut [PlacedEngine], orders: &[PlaceOrder]) {
+fn place(engines: &mut [PlacedEngine], orders: &[PlacementOrder]) {
     for order in orders {
         let engine = engines.iter_mut().find(|it| it.id == order.endpoint);
         engine.expect("an order names an engine").layers = Some(order.layers);
@@ -120,7 +120,7 @@
     let model = model_of_unlike_speeds();
     for (large, middle, small) in [(2, 4, 4), (1, 6, 6), (1, 4, 10)] {
         let mut engines = engines("lac", large, middle, small);
-        let orders = PlacementDuty::default().due(&engines, &model, 0);
+        let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
         place(&mut engines, &orders);
         let is_fast = |it: &&PlacedEngine| it.kind != "middle";
         let fast: Vec<PlacedEngine> = engines.iter().filter(is_fast).cloned().collect();
@@ -144,7 +144,7 @@
     let model = model_of_unlike_speeds();
     for (large, middle, small) in [(2, 4, 4), (1, 6, 6), (1, 4, 10)] {
         let mut engines = engines("lac", large, middle, small);
-        let orders = PlacementDuty::default().due(&engines, &model, 0);
+        let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
         place(&mut engines, &orders);
         let lost = engines.remove(0);
         let holes: Vec<u16> = (0..80)
@@ -165,9 +165,9 @@
     for (engine, layers) in engines.iter_mut().zip(layers) {
         engine.layers = layers.map(|(first, end)| LayerRange { first, end });
     }
-    let orders = PlacementDuty::default().due(&engines, &model, 0);
+    let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
     let layers_of = |kind: &str| {
-        let is_of_kind = |it: &&PlaceOrder| it.endpoint.as_str().contains(kind);
+        let is_of_kind = |it: &&PlacementOrder| it.endpoint.as_str().contains(kind);
         orders
             .iter()
             .find(is_of_kind)
@@ -215,7 +215,7 @@
 fn an_engine_that_returns_to_slow_copies_keeps_the_room_of_an_only_holder() {
     let model = model_of_unlike_speeds();
     let mut engines = engines("lac", 1, 6, 6);
-    let orders = PlacementDuty::default().due(&engines, &model, 0);
+    let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
     place(&mut engines, &orders);
     let before = engines[0].layers;
     engines[0].layers = None;
@@ -223,7 +223,7 @@
         (0..80).all(|layer| holders(&engines, layer) >= 1),
         "copies hold its layers"
     );
-    let orders = PlacementDuty::default().due(&engines, &model, 0);
+    let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
     assert_eq!(orders.len(), 1);
     assert_eq!(Some(orders[0].layers), before);
 }
@@ -242,10 +242,10 @@
         first = end;
     }
     engines[6].kind = "unheard-of".to_owned();
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     // All that they can do is to leave another layer without a holder.
-    assert_eq!(duty.due(&engines, &model, 0), vec![]);
-    assert_eq!(duty.due(&engines, &model, 6_000), vec![]);
+    assert_eq!(duty.due_orders(&engines, &model, 0), vec![]);
+    assert_eq!(duty.due_orders(&engines, &model, 6_000), vec![]);
 }
 
 #[test]
@@ -254,7 +254,7 @@
     carry_out(&mut engines, 0);
     let lost = LayerRange { first: 66, end: 80 };
     engines.retain(|it| it.layers.is_none_or(|layers| !lost.covers(layers)));
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     let first = give(&mut duty, &engines, 0);
     assert_eq!(first.len(), 1);
     // While it is moved it reports no layers.
@@ -267,9 +267,9 @@
 fn an_engine_that_refused_still_counts_as_a_holder() {
     let mut engines = engines("lac", 2, 5, 8);
     carry_out(&mut engines, 0);
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     for engine in &engines {
-        duty.refused(&engine.id, 0);
+        duty.order_refused(&engine.id, 0);
     }
     assert_eq!(give(&mut duty, &engines, 300), vec![]);
 }
@@ -281,7 +281,7 @@
     // No single move makes up for this one.
     engines.remove(6);
     assert!((0..80).any(|layer| holders(&engines, layer) == 0));
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     let mut looks_ms = (0..100).map(|round| round * 300);
     let first_ms = looks_ms.find(|now_ms| {
         let orders = give(&mut duty, &engines, *now_ms);
@@ -303,7 +303,7 @@
         engine.held_token_layers = 1_000;
     }
     let moved = |engines: &[PlacedEngine]| {
-        let orders = PlacementDuty::default().due(engines, &model(), 0);
+        let orders = PlacementPlanner::default().due_orders(engines, &model(), 0);
         orders[0].endpoint.clone()
     };
     let busy = moved(&engines);
@@ -322,9 +322,9 @@
     let last = LayerRange { first: 79, end: 80 };
     let holds_last = |it: &PlacedEngine| it.layers.is_some_and(|layers| layers.covers(last));
     engines.retain(|engine| !holds_last(engine));
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     let first = give(&mut duty, &engines, 0);
-    duty.refused(&first[0].endpoint, 0);
+    duty.order_refused(&first[0].endpoint, 0);
     let second = give(&mut duty, &engines, 300);
     assert!(!second.is_empty());
     assert!(
@@ -346,7 +346,7 @@
         .iter()
         .position(|it| only(it, &engines))
         .expect("single holders");
-    engines[slow].is_crawling = true;
+    engines[slow].is_very_slow = true;
     carry_out(&mut engines, 0);
     let slow = engines.remove(slow);
     assert!(slow.layers.is_some(), "it keeps what it holds");
@@ -356,7 +356,7 @@
 #[test]
 fn an_order_under_way_is_not_given_again_until_it_seems_lost() {
     let engines = engines("lac", 2, 5, 8);
-    let mut duty = PlacementDuty::default();
+    let mut duty = PlacementPlanner::default();
     assert_eq!(give(&mut duty, &engines, 0).len(), 15);
     assert_eq!(give(&mut duty, &engines, 3_000).len(), 0);
     assert_eq!(give(&mut duty, &engines, 12_000).len(), 15);
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -11,7 +11,7 @@
 use super::node::Node;
 use super::questions::{Finding, ask, ask_beside_control};
 use crate::clock::boot_ms;
-use crate::fleet::{Chain, ChainStage, KnownEndpoint, Trouble};
+use crate::fleet::{Chain, ChainStage, EndpointFailure, KnownEndpoint};
 use crate::ids::EndpointId;
 use crate::relay::NoAnswer;
 
@@ -189,7 +189,7 @@
     let report = match finding {
         Finding::Sound(report) => report,
         Finding::Ended => {
-            node.troubled(id, Trouble::Ended);
+            node.troubled(id, EndpointFailure::Ended);
             return;
         }
         Finding::Unanswered(asked_ms, NoAnswer::EngineDead) => {
@@ -213,7 +213,7 @@
         Lifetime::Known if !report.is_fresh => {}
         Lifetime::Known | Lifetime::Later => {
             log::warn!(endpoint = id.as_str(), born_unix_ms = report.born_unix_ms; "engine has started anew");
-            node.troubled(id, Trouble::Ended);
+            node.troubled(id, EndpointFailure::Ended);
             return;
         }
         Lifetime::Earlier => return,
@@ -221,7 +221,7 @@
     if let Some(known) = node.fleet.borrow_mut().get_mut(id) {
         // Newer than the list, which shows layers with a lag. An engine that is being moved still
         // runs what it has begun.
-        known.said_layers(report.layers, boot_ms());
+        known.set_reported_layers(report.layers, boot_ms());
     }
     node.reported_slowness(id, report.slowness);
     let mut checks = node.checks.borrow_mut();
@@ -242,7 +242,7 @@
         .fleet
         .borrow()
         .iter()
-        .filter(|known| known.standing.slowness(now_ms) > 1.0)
+        .filter(|known| known.health.slowness(now_ms) > 1.0)
         .filter_map(KnownEndpoint::stage)
         .collect();
     join_all(slow.iter().map(|stage| check(node, stage))).await;
@@ -259,7 +259,7 @@
         .fleet
         .borrow()
         .iter()
-        .filter(|known| known.standing.needs_check(now_ms))
+        .filter(|known| known.health.needs_check(now_ms))
         .map(|known| {
             let listed = &known.listed;
             (listed.id.clone(), listed.address, listed.kind.is_some())
@@ -281,13 +281,13 @@
             Some(
                 Finding::Ended | Finding::Unanswered(_, NoAnswer::EngineDead | NoAnswer::Unclear),
             ) => {
-                known.standing.pause(boot_ms());
+                known.health.pause(boot_ms());
             }
             Some(Finding::Sound(report)) if answering_lifetime(&id, &report) != Lifetime::Known => {
-                known.standing.pause(boot_ms());
+                known.health.pause(boot_ms());
             }
             Some(Finding::Sound(report)) => {
-                known.said_layers(report.layers, boot_ms());
+                known.set_reported_layers(report.layers, boot_ms());
                 takes_work_again(known);
             }
             Some(Finding::Nothing | Finding::Unanswered(_, NoAnswer::EngineLives)) | None => {
@@ -303,7 +303,7 @@
     let mut fleet = node.fleet.borrow_mut();
     let living: Vec<EndpointId> = fleet
         .iter()
-        .filter(|known| known.was_heard_since_question())
+        .filter(|known| known.heard_since_probe())
         .map(|known| known.id().clone())
         .collect();
     for id in &living {
@@ -315,5 +315,5 @@
 
 fn takes_work_again(known: &mut KnownEndpoint) {
     log::info!(endpoint = known.id().as_str(); "endpoint takes work again");
-    known.standing.clear();
+    known.health.clear();
 }
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -14,10 +14,10 @@
 use super::peer_book::HolderEnd;
 use crate::clients::call_table;
 use crate::clock::boot_ms;
-use crate::fleet::{Phase, Trouble};
+use crate::fleet::{EndpointFailure, Phase};
 use crate::ids::{EndpointId, ServiceName};
-use crate::lease::{Lease, LeaseEvent, LeaseTimes};
-use crate::placement::{PlaceOrder, PlacedEngine, PlacementDuty};
+use crate::lease::{Lease, LeaseEvent, LeaseTiming};
+use crate::placement::{PlacedEngine, PlacementOrder, PlacementPlanner};
 use crate::route_table::EngineModel;
 
 /// Pause between two looks at what is to be ordered.
@@ -31,7 +31,7 @@
 const REPORT_TIMEOUT_MS: u64 = 200;
 /// Times of the lease: short, since while nobody holds it no engine gets layers. The holder keeps
 /// it only while there is something to order.
-const LEASE_TIMES: LeaseTimes = LeaseTimes {
+const LEASE_TIMES: LeaseTiming = LeaseTiming {
     lease_ms: 3_000,
     margin_ms: 300,
     renew_ms: 1_000,
@@ -43,7 +43,7 @@
 
 struct Duty {
     lease: Lease,
-    placement: PlacementDuty,
+    placement: PlacementPlanner,
     work_ms: Option<u64>,
     seen_engines: usize,
     changed_ms: u64,
@@ -78,7 +78,7 @@
         let instance = node.settings.instance.clone();
         Self {
             lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMES),
-            placement: PlacementDuty::default(),
+            placement: PlacementPlanner::default(),
             work_ms: None,
             seen_engines: 0,
             changed_ms: 0,
@@ -92,15 +92,15 @@
         node: &Rc<Node<A>>,
         service: &ServiceName,
         model: &EngineModel,
-        heard: &[PlaceOrder],
+        heard: &[PlacementOrder],
     ) where
         A: Adapter,
     {
         let now_ms = boot_ms();
         let engines = engines(node, service);
-        let is_ours = |order: &&PlaceOrder| engines.iter().any(|it| it.id == order.endpoint);
+        let is_ours = |order: &&PlacementOrder| engines.iter().any(|it| it.id == order.endpoint);
         for order in heard.iter().filter(is_ours) {
-            self.placement.heard(order.clone(), model, now_ms);
+            self.placement.order_reported(order.clone(), model, now_ms);
         }
         if engines.len() != self.seen_engines {
             self.seen_engines = engines.len();
@@ -111,9 +111,9 @@
         let may_lead = node.availability().may_lead();
         let is_first = may_lead && node.peers.borrow().is_first(now_ms);
         let orders = if is_first && is_settled {
-            self.placement.due(&engines, model, now_ms)
+            self.placement.due_orders(&engines, model, now_ms)
         } else {
-            self.placement.rest();
+            self.placement.reset_uncovered_timers();
             Vec::new()
         };
         if !orders.is_empty() {
@@ -124,7 +124,7 @@
         self.keep_lease(node, service).await;
         let held = self
             .lease
-            .may_order(node.settings.bounds.engines_check_fence, boot_ms());
+            .may_send_orders(node.settings.bounds.engines_check_fence, boot_ms());
         if let Some(held) = held {
             for (order, result) in give(node, orders, held.fence).await {
                 self.gave(node, order, &result, &engines, model);
@@ -157,7 +157,7 @@
         let end = node.peers.borrow().has_ended(service, &holder, boot_ms());
         let are_fenced = node.settings.bounds.engines_check_fence;
         let has_ended = end == HolderEnd::Surely || (end == HolderEnd::Perhaps && are_fenced);
-        if has_ended && self.lease.ended(holder.fence) {
+        if has_ended && self.lease.record_holder_ended(holder.fence) {
             log::info!(
                 service = service.as_str(),
                 holder = holder.instance.as_str(),
@@ -196,7 +196,7 @@
     fn gave<A>(
         &mut self,
         node: &Rc<Node<A>>,
-        order: PlaceOrder,
+        order: PlacementOrder,
         result: &Result<(), OrderFailure>,
         engines: &[PlacedEngine],
         model: &EngineModel,
@@ -207,12 +207,12 @@
             // An order without reply may be carried out; it is looked for in the list.
             Ok(()) | Err(OrderFailure::NoReply) => {
                 node.moving(&order);
-                self.placement.given(order, engines, model, boot_ms());
+                self.placement.order_sent(order, engines, model, boot_ms());
             }
             Err(failure) => {
-                self.placement.refused(&order.endpoint, boot_ms());
+                self.placement.order_refused(&order.endpoint, boot_ms());
                 if *failure == OrderFailure::NoListener {
-                    node.troubled(&order.endpoint, Trouble::Ended);
+                    node.troubled(&order.endpoint, EndpointFailure::Ended);
                 }
             }
         }
@@ -222,9 +222,9 @@
 /// Gives orders side by side.
 async fn give<A>(
     node: &Rc<Node<A>>,
-    orders: Vec<PlaceOrder>,
+    orders: Vec<PlacementOrder>,
     fence: u64,
-) -> Vec<(PlaceOrder, Result<(), OrderFailure>)>
+) -> Vec<(PlacementOrder, Result<(), OrderFailure>)>
 where
     A: Adapter,
 {
@@ -235,7 +235,11 @@
     join_all(given).await
 }
 
-async fn give_one<A>(node: &Rc<Node<A>>, order: &PlaceOrder, fence: u64) -> Result<(), OrderFailure>
+async fn give_one<A>(
+    node: &Rc<Node<A>>,
+    order: &PlacementOrder,
+    fence: u64,
+) -> Result<(), OrderFailure>
 where
     A: Adapter,
 {
@@ -284,12 +288,12 @@
         return Err(OrderFailure::Unknown);
     }
     node.reported_slowness(endpoint, report.slowness);
-    let is_crawling = node
+    let is_very_slow = node
         .fleet
         .borrow()
         .get(endpoint)
-        .is_some_and(|known| known.standing.is_crawling(boot_ms()));
-    if report.is_busy || is_crawling {
+        .is_some_and(|known| known.health.is_very_slow(boot_ms()));
+    if report.is_busy || is_very_slow {
         log::info!(
             endpoint = endpoint.as_str(),
             busy = report.is_busy,
@@ -316,7 +320,7 @@
                 kind: listed.kind.clone()?,
                 layers: listed.layers,
                 held_token_layers: known.token_layers(),
-                is_crawling: known.standing.is_crawling(now_ms),
+                is_very_slow: known.health.is_very_slow(now_ms),
             })
         })
         .collect()
--- a/src/relay_server/fleet_lines.rs
+++ b/src/relay_server/fleet_lines.rs
@@ -40,17 +40,17 @@
             log::info!(
                 endpoint = live.endpoint.as_str(),
                 reason = live.reason.name(),
-                peer = live.told_by.as_str(),
-                told_age_ms = now_ms.saturating_sub(live.told_ms),
+                peer = live.reported_by.as_str(),
+                told_age_ms = now_ms.saturating_sub(live.reported_ms),
                 known = describe_known(fleet, [&live.endpoint], now_ms),
                 list = describe_list(fleet, now_ms);
                 "endpoint is not leaving, though a peer has said so"
             );
         }
-        FleetChange::Gone(id) => {
+        FleetChange::Removed(id) => {
             log::info!(endpoint = id.as_str(); "endpoint is gone");
         }
-        FleetChange::Lapsed(id) => {
+        FleetChange::Expired(id) => {
             log::info!(endpoint = id.as_str(); "endpoint has lapsed");
         }
         FleetChange::Layers(id, layers) => {
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::list_log::ListMark;
-use crate::fleet::{EngineLoad, ToldLimit};
+use crate::fleet::{EngineLoad, LimitReport};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::quarantine::ToldEvidence;
 use crate::relay::{RepeatAmount, RepeatLoan};
@@ -60,7 +60,7 @@
     /// What is known of requests under which endpoints have ended.
     pub(super) evidence: ToldEvidence,
     /// Limits that endpoints have named to the sender.
-    pub(super) limits: Vec<ToldLimit>,
+    pub(super) limits: Vec<LimitReport>,
 }
 
 /// The newest heartbeat that the sender of a datagram has from its recipient.
@@ -129,7 +129,7 @@
     /// What others should know of requests under which endpoints have ended.
     pub(crate) evidence: ToldEvidence,
     /// Limits that endpoints have named to this instance.
-    pub(crate) limits: Vec<ToldLimit>,
+    pub(crate) limits: Vec<LimitReport>,
 }
 
 /// What an instance's streams hold at one engine.
--- a/src/relay_server/held_tokens.rs
+++ b/src/relay_server/held_tokens.rs
@@ -4,7 +4,7 @@
 
 use super::adapter::Adapter;
 use super::node::Node;
-use crate::fleet::{Chain, Heard};
+use crate::fleet::{Chain, LastHeard};
 
 /// Counts a stream's tokens at the engines of its chain while it runs.
 pub(super) struct HeldTokens<A>
@@ -15,7 +15,7 @@
     chain: Chain,
     tokens: u64,
     /// Where it is noted that an event has come, for each stage.
-    heard: Vec<Heard>,
+    heard: Vec<LastHeard>,
 }
 
 impl<A> HeldTokens<A>
@@ -36,7 +36,7 @@
     /// Notes that an event has come: each passes all stages, so that every engine of the chain lives.
     pub(super) fn event(&self, now_ms: u64) {
         for heard in &self.heard {
-            heard.note(now_ms);
+            heard.record(now_ms);
         }
     }
 
@@ -63,9 +63,9 @@
     }
 }
 
-fn heard_of<A>(node: &Node<A>, chain: &Chain) -> Vec<Heard> {
+fn heard_of<A>(node: &Node<A>, chain: &Chain) -> Vec<LastHeard> {
     let fleet = node.fleet.borrow();
     let stages = chain.stages().iter();
     let known = stages.filter_map(|stage| fleet.get(&stage.endpoint));
-    known.map(|known| known.heard.clone()).collect()
+    known.map(|known| known.last_heard.clone()).collect()
 }
--- a/src/relay_server/list_log_tests.rs
+++ b/src/relay_server/list_log_tests.rs
@@ -37,7 +37,7 @@
     let mut log = ListLog::default();
     log.note(
         10,
-        &ListingRead::whole(vec![entry(1, Phase::Live, 1)]),
+        &ListingRead::full(vec![entry(1, Phase::Live, 1)]),
         false,
     );
     log.note(14, &changes(&[2], &[]), false);
@@ -68,7 +68,7 @@
 #[test]
 fn a_peer_that_knows_of_no_change_confirms_the_list() {
     let mut log = ListLog::default();
-    log.note(10, &ListingRead::whole(Vec::new()), false);
+    log.note(10, &ListingRead::full(Vec::new()), false);
     log.confirm(ListMark {
         position: 30,
         changed: 9,
@@ -90,7 +90,7 @@
 #[test]
 fn one_that_is_far_behind_is_told_the_whole() {
     let mut log = ListLog::default();
-    log.note(1, &ListingRead::whole(Vec::new()), false);
+    log.note(1, &ListingRead::full(Vec::new()), false);
     for position in 2..200 {
         log.note(position, &changes(&[1], &[]), false);
     }
@@ -111,9 +111,9 @@
         let mut position = 1;
         let mut store: IndexMap<u8, ListedEndpoint> = IndexMap::new();
         let mut reader = (ListLog::default(), Fleet::default());
-        let first = ListingRead::whole(Vec::new());
+        let first = ListingRead::full(Vec::new());
         reader.0.note(position, &first, false);
-        reader.1.take(first, false, 0);
+        reader.1.apply_read(first, false, 0);
         let mut told = [(ListLog::default(), Fleet::default()), (ListLog::default(), Fleet::default())];
         for (number, is_removed, slots, who) in steps {
             position += 3;
@@ -125,7 +125,7 @@
                 ListingRead::changes(vec![entry(number, Phase::Live, slots)], Vec::new())
             };
             reader.0.note(position, &read, false);
-            reader.1.take(read, false, 0);
+            reader.1.apply_read(read, false, 0);
             match who {
                 0 => tell(&reader, &mut told[0]),
                 1 => {
@@ -155,17 +155,20 @@
 
 /// Tells one instance what another knows.
 fn tell(from: &(ListLog, Fleet), to: &mut (ListLog, Fleet)) {
-    match from.0.news_since(to.0.mark().position, || from.1.listing()) {
+    match from
+        .0
+        .news_since(to.0.mark().position, || from.1.listed_endpoints())
+    {
         ListNews::Nothing => {}
         ListNews::Changes(reads) => {
             for it in reads {
                 to.0.note(it.position, &it.read, it.was_away);
-                to.1.take(it.read, it.was_away, 0);
+                to.1.apply_read(it.read, it.was_away, 0);
             }
         }
         ListNews::Whole(entries) => {
             to.0.restart(from.0.mark());
-            to.1.take(ListingRead::whole(entries), false, 0);
+            to.1.apply_read(ListingRead::full(entries), false, 0);
         }
     }
     to.0.confirm(from.0.mark());
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -19,7 +19,7 @@
 use super::super::test_settings;
 use super::store::Access;
 use crate::fleet::{
-    Fleet, FleetChange, LimitWord, ListingRead, Pacing, Permit, Phase, pick_replica,
+    Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica,
 };
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
 use crate::quarantine::Quarantine;
@@ -136,18 +136,18 @@
 
     /// Sends a request to an endpoint, if it may be sent one now.
     pub(super) fn sends_to(&mut self, id: &EndpointId, now_ms: u64) -> bool {
-        self.fleet.pacing.take_permit(id, now_ms) != Permit::Missing
+        self.fleet.pacing.acquire_permit(id, now_ms) != Permit::Missing
     }
 
     /// Takes an answer of an endpoint that names this limit.
     pub(super) fn hear_limit(&mut self, id: &EndpointId, limit_per_s: Option<f64>, now_ms: u64) {
         let said = Pacing {
-            limit: limit_per_s.map_or(LimitWord::Unlimited, LimitWord::PerSecond),
+            limit: limit_per_s.map_or(RateLimitUpdate::Unlimited, RateLimitUpdate::PerSecond),
             ..Pacing::default()
         };
-        self.fleet.pacing.hear(id, said, now_ms);
+        self.fleet.pacing.apply(id, said, now_ms);
         share_limits(&mut self.fleet, &self.book, now_ms);
-        if self.fleet.pacing.has_untold_news() {
+        if self.fleet.pacing.has_unsent_updates() {
             self.book.tell_knowledge();
         }
     }
@@ -164,8 +164,8 @@
         let answered_ms = self.store.answered_ms().filter(|_| self.reads);
         OwnState {
             availability: Availability {
-                is_ready: self.fleet.is_known(),
-                is_open: self.fleet.is_known(),
+                is_ready: self.fleet.is_loaded(),
+                is_open: self.fleet.is_loaded(),
                 reaches_store: self.reads && self.store.answers(),
                 is_fed: self.is_fed(now_ms),
             },
@@ -177,7 +177,7 @@
             held: Vec::new(),
             repeat_needs: Vec::new(),
             evidence: self.quarantine.next_told(now_ms),
-            limits: self.fleet.pacing.next_told(now_ms),
+            limits: self.fleet.pacing.next_reports(now_ms),
         }
     }
 
@@ -218,11 +218,11 @@
         self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
         let mut told = heartbeat.limits.iter();
-        if told.any(|it| pacing.hear_told(it, now_ms)) {
+        if told.any(|it| pacing.apply_reports(it, now_ms)) {
             share_limits(&mut self.fleet, &self.book, now_ms);
         }
         for id in &heartbeat.leaving {
-            self.fleet.told_leaving(peer, id, now_ms);
+            self.fleet.record_peer_leaving(peer, id, now_ms);
         }
         !knows_list
     }
@@ -240,7 +240,7 @@
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let taken = list_sync::take_read(log, fleet, read, was_away, sent_ms, now_ms);
         for change in &taken.changes {
-            if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
+            if let FleetChange::Leaving(id) | FleetChange::Removed(id) = change {
                 self.book.tell_leaving(id);
             }
         }
--- a/src/relay_server/list_spread_tests/store.rs
+++ b/src/relay_server/list_spread_tests/store.rs
@@ -91,7 +91,7 @@
     pub(super) fn whole(&self) -> FeedRead<ListingRead> {
         FeedRead {
             position: self.position,
-            content: ListingRead::whole(self.entries.values().cloned().collect()),
+            content: ListingRead::full(self.entries.values().cloned().collect()),
         }
     }
 
--- a/src/relay_server/list_spread_tests/world.rs
+++ b/src/relay_server/list_spread_tests/world.rs
@@ -301,7 +301,7 @@
                 self.asked(index);
             }
             Event::Sweep => {
-                self.instances[index].fleet.settle(now_ms);
+                self.instances[index].fleet.expire(now_ms);
                 self.push(index, SWEEP_MS, Event::Sweep);
             }
         }
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -5,7 +5,7 @@
 
 use super::adapter::FeedRead;
 use super::list_log::{ListLog, ListMark, ListNews};
-use crate::fleet::{Fleet, FleetChange, InfoPath, ListingRead};
+use crate::fleet::{Fleet, FleetChange, InfoSource, ListingRead};
 use crate::ids::InstanceId;
 
 /// What a peer tells of the list of endpoints.
@@ -42,16 +42,16 @@
     }
     log.note(read.position, &read.content, was_away);
     let is_news = log.mark().changed != known.changed;
-    let changes = fleet.take(read.content, was_away, now_ms);
+    let changes = fleet.apply_read(read.content, was_away, now_ms);
     fleet.confirm(sent_ms);
     Taken { changes, is_news }
 }
 
 /// What one that knows the list up to `position` is told, where the list is known here.
 pub(super) fn update_since(log: &ListLog, fleet: &Fleet, position: u64) -> Option<ListUpdate> {
-    fleet.is_known().then(|| ListUpdate {
+    fleet.is_loaded().then(|| ListUpdate {
         mark: log.mark(),
-        news: log.news_since(position, || fleet.listing()),
+        news: log.news_since(position, || fleet.listed_endpoints()),
     })
 }
 
@@ -67,7 +67,7 @@
     now_ms: u64,
 ) -> Vec<FleetChange> {
     let ListUpdate { mark, news } = update;
-    let path = InfoPath::PeerList(peer.clone());
+    let path = InfoSource::PeerList(peer.clone());
     let own = log.mark().position;
     let mut changes = Vec::new();
     match news {
@@ -77,17 +77,17 @@
         ListNews::Changes(reads) => {
             for it in reads {
                 log.note(it.position, &it.read, it.was_away);
-                changes.extend(fleet.take_by(&path, it.read, it.was_away, now_ms));
+                changes.extend(fleet.apply_read_from(&path, it.read, it.was_away, now_ms));
             }
         }
         ListNews::Whole(_) if own >= mark.position => return changes,
         ListNews::Whole(entries) => {
             log.restart(mark);
-            changes = fleet.take_from_peer(peer, entries, now_ms);
+            changes = fleet.apply_peer_list(peer, entries, now_ms);
         }
     }
     log.confirm(mark);
-    fleet.confirm_by(path, newest_at_ms);
+    fleet.confirm_from(path, newest_at_ms);
     changes
 }
 
@@ -105,7 +105,7 @@
         && knows_list
         && mark.position > 0
     {
-        fleet.confirm_by(InfoPath::Heartbeat(peer.clone()), newest_at_ms);
+        fleet.confirm_from(InfoSource::Heartbeat(peer.clone()), newest_at_ms);
         log.confirm(mark);
     }
     knows_list
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -17,9 +17,9 @@
 use super::uplink::Uplink;
 use super::upstream::Upstreams;
 use crate::clock::boot_ms;
-use crate::fleet::{Chain, ChainStage, Fleet, FleetChange, Phase, Trouble};
+use crate::fleet::{Chain, ChainStage, EndpointFailure, Fleet, FleetChange, Phase};
 use crate::ids::{EndpointId, Incarnation, ServiceName};
-use crate::placement::PlaceOrder;
+use crate::placement::PlacementOrder;
 use crate::quarantine::{DigestKey, Quarantine, RequestDigest, RequestParts};
 use crate::relay::{
     AnswerBook, AttemptLimit, BudgetShare, Outlook, RepeatPurpose, RetryBudget, RunTimes,
@@ -44,7 +44,7 @@
     pub(crate) prompt_answers: RefCell<AnswerBook>,
     pub(crate) peers: RefCell<PeerBook>,
     /// Orders that peers gave to engines, not yet taken up by the duty of this instance.
-    pub(crate) orders_heard: RefCell<Vec<PlaceOrder>>,
+    pub(crate) orders_heard: RefCell<Vec<PlacementOrder>>,
     /// Whether the store answers this instance.
     pub(crate) store: Cell<StoreContact>,
     /// Whether this instance reads the store itself.
@@ -278,11 +278,11 @@
     }
 
     /// Notes a trouble at an endpoint, and tells everybody if it is left out from now on.
-    pub(crate) fn troubled(&self, endpoint: &EndpointId, trouble: Trouble) {
+    pub(crate) fn troubled(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
         let is_out = self
             .fleet
             .borrow_mut()
-            .troubled(endpoint, trouble, boot_ms());
+            .record_failure(endpoint, trouble, boot_ms());
         if is_out {
             self.left_out(endpoint, trouble);
         }
@@ -294,26 +294,28 @@
             .fleet
             .borrow_mut()
             .get_mut(endpoint)
-            .is_some_and(|known| known.unanswered(asked_ms, boot_ms()));
+            .is_some_and(|known| known.record_unanswered(asked_ms, boot_ms()));
         if is_out {
-            self.left_out(endpoint, Trouble::Unreachable);
+            self.left_out(endpoint, EndpointFailure::Unreachable);
         }
     }
 
     /// When something last came from an endpoint, or over it; 0 if nothing did.
     pub(crate) fn heard_ms(&self, endpoint: &EndpointId) -> u64 {
         let fleet = self.fleet.borrow();
-        fleet.get(endpoint).map_or(0, |known| known.heard.at_ms())
+        fleet
+            .get(endpoint)
+            .map_or(0, |known| known.last_heard.at_ms())
     }
 
-    fn left_out(&self, endpoint: &EndpointId, trouble: Trouble) {
+    fn left_out(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
         let now_ms = boot_ms();
         let ago = |at_ms: u64| now_ms.saturating_sub(at_ms);
         let (asked_ms, heard_ms) = {
             let fleet = self.fleet.borrow();
             let known = fleet.get(endpoint);
-            let asked_ms = known.and_then(|it| it.standing.unanswered_since_ms());
-            (asked_ms, known.map_or(0, |it| it.heard.at_ms()))
+            let asked_ms = known.and_then(|it| it.health.unanswered_since_ms());
+            (asked_ms, known.map_or(0, |it| it.last_heard.at_ms()))
         };
         log::warn!(
             endpoint = endpoint.as_str(),
@@ -323,7 +325,7 @@
             "endpoint is left out"
         );
         self.counters.count("relay.endpoints.left_out");
-        if trouble.is_death() {
+        if trouble.loses_requests() {
             self.unsound(endpoint);
         }
     }
@@ -332,7 +334,7 @@
     pub(crate) fn was_full(&self, endpoint: &EndpointId) {
         let mut fleet = self.fleet.borrow_mut();
         let known = fleet.get_mut(endpoint);
-        if known.is_some_and(|known| known.standing.was_full(boot_ms())) {
+        if known.is_some_and(|known| known.health.record_full(boot_ms())) {
             self.full_news.borrow_mut().push(endpoint.clone());
             self.full_due.notify_one();
         }
@@ -343,23 +345,23 @@
         let mut fleet = self.fleet.borrow_mut();
         for stage in chain.stages() {
             if let Some(known) = fleet.get_mut(&stage.endpoint) {
-                known.standing.took_request();
+                known.health.record_accepted();
             }
         }
     }
 
     /// Notes that an engine was ordered to hold other layers: nothing new is sent to it until it has
     /// them.
-    pub(crate) fn moving(&self, order: &PlaceOrder) {
+    pub(crate) fn moving(&self, order: &PlacementOrder) {
         self.heard_moving(order);
         self.peers.borrow_mut().tell_moving(order);
         self.wake_streams();
     }
 
     /// Notes that a peer ordered an engine to hold other layers.
-    pub(crate) fn heard_moving(&self, order: &PlaceOrder) {
+    pub(crate) fn heard_moving(&self, order: &PlacementOrder) {
         if let Some(known) = self.fleet.borrow_mut().get_mut(&order.endpoint) {
-            known.said_layers(None, boot_ms());
+            known.set_reported_layers(None, boot_ms());
         }
     }
 
@@ -370,7 +372,7 @@
         let Some(known) = fleet.get_mut(endpoint) else {
             return;
         };
-        if known.standing.reported_slowness(factor, now_ms) {
+        if known.health.record_slowness(factor, now_ms) {
             drop(fleet);
             log::warn!(endpoint = endpoint.as_str(), factor; "engine is slow");
             self.wake_streams();
@@ -404,7 +406,7 @@
     pub(crate) fn told_unsound(&self, endpoint: &EndpointId) -> Option<ChainStage> {
         let fleet = self.fleet.borrow();
         let known = fleet.get(endpoint)?;
-        let is_news = !known.standing.is_doubtful();
+        let is_news = !known.health.is_unverified();
         known.stage().filter(|_| is_news)
     }
 
@@ -414,7 +416,7 @@
         self.take_changes(changes);
         let mut peers = self.peers.borrow_mut();
         for change in changes {
-            if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
+            if let FleetChange::Leaving(id) | FleetChange::Removed(id) = change {
                 peers.tell_leaving(id);
             }
         }
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -11,7 +11,7 @@
 use super::senders::{LimitedEndpoint, share_per_s};
 use super::upstream::{Exchange, UpstreamFailure};
 use crate::clock::boot_ms;
-use crate::fleet::{Fleet, Pacing, PacingChange, Permit, ToldLimit};
+use crate::fleet::{Fleet, LimitReport, Pacing, PacingChange, Permit};
 use crate::ids::{EndpointId, InstanceId, ServiceName};
 use crate::relay::RefusalCause;
 
@@ -23,8 +23,8 @@
     pub(super) fn heard_pacing(&self, endpoint: &EndpointId, said: Pacing) {
         let now_ms = boot_ms();
         let mut fleet = self.fleet.borrow_mut();
-        let changes = fleet.hear_pacing(endpoint, said, now_ms);
-        let has_news = fleet.pacing.has_untold_news();
+        let changes = fleet.apply_pacing(endpoint, said, now_ms);
+        let has_news = fleet.pacing.has_unsent_updates();
         drop(fleet);
         if changes.is_empty() {
             return;
@@ -43,11 +43,11 @@
     }
 
     /// Takes limits that a peer has heard.
-    pub(super) fn hear_limits(&self, peer: &InstanceId, limits: &[ToldLimit], now_ms: u64) {
+    pub(super) fn hear_limits(&self, peer: &InstanceId, limits: &[LimitReport], now_ms: u64) {
         let mut has_changed = false;
         for told in limits {
             let mut fleet = self.fleet.borrow_mut();
-            if fleet.pacing.hear_told(told, now_ms) {
+            if fleet.pacing.apply_reports(told, now_ms) {
                 has_changed = true;
                 log::info!(
                     endpoint = told.endpoint.as_str(),
@@ -72,7 +72,7 @@
     /// Why nobody can be sent a request for a service now, if it is that endpoints want none.
     pub(super) fn rate_limited(&self, service: &ServiceName) -> Option<RefusalCause> {
         let now_ms = boot_ms();
-        let next_send = self.fleet.borrow().held_off(service, now_ms)?;
+        let next_send = self.fleet.borrow().earliest_paced_send(service, now_ms)?;
         let wait_ms = next_send.at_ms.map(|at_ms| at_ms.saturating_sub(now_ms));
         Some(RefusalCause::RateLimited { wait_ms })
     }
@@ -101,19 +101,19 @@
             .await;
         if sent.as_ref().is_err_and(|failure| failure.sent_nothing()) {
             let mut fleet = self.fleet.borrow_mut();
-            fleet.pacing.give_permit_back(endpoint, permit);
+            fleet.pacing.return_permit(endpoint, permit);
         }
         sent
     }
 
     fn take_permit(&self, endpoint: &EndpointId) -> Permit {
         let mut fleet = self.fleet.borrow_mut();
-        self.count_missing(fleet.pacing.take_permit(endpoint, boot_ms()))
+        self.count_missing(fleet.pacing.acquire_permit(endpoint, boot_ms()))
     }
 
     fn keeps_permit(&self, endpoint: &EndpointId, permit: Permit) -> bool {
         let mut fleet = self.fleet.borrow_mut();
-        let renewed = fleet.pacing.renew_permit(endpoint, permit, boot_ms());
+        let renewed = fleet.pacing.recheck_permit(endpoint, permit, boot_ms());
         self.count_missing(renewed) != Permit::Missing
     }
 
--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -15,7 +15,7 @@
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::lease::LeaseHolder;
-use crate::placement::PlaceOrder;
+use crate::placement::PlacementOrder;
 use crate::relay::Lender;
 use crate::telling::{News, Rotation};
 use crate::wire::engine::LayerRange;
@@ -358,7 +358,7 @@
     }
 
     /// Has peers told that an engine is about to hold other layers.
-    pub(crate) fn tell_moving(&mut self, order: &PlaceOrder) {
+    pub(crate) fn tell_moving(&mut self, order: &PlacementOrder) {
         self.moving.push((order.endpoint.clone(), order.layers));
         self.has_news = true;
     }
--- a/src/relay_server/peer_news_tests.rs
+++ b/src/relay_server/peer_news_tests.rs
@@ -5,7 +5,7 @@
 use super::heartbeat::heartbeat_bytes;
 use super::peer_book_tests::{READY, book, heartbeat};
 use crate::ids::EndpointId;
-use crate::placement::PlaceOrder;
+use crate::placement::PlacementOrder;
 use crate::wire::engine::LayerRange;
 
 // 2,970 orders were given at once, and the heartbeat that told of them was longer than what a peer reads.
@@ -15,7 +15,7 @@
     let endpoint = |number: u32| EndpointId::from(format!("i-{number:010}"));
     let layers = LayerRange { first: 0, end: 12 };
     for number in 0..3_000 {
-        sender.tell_moving(&PlaceOrder {
+        sender.tell_moving(&PlacementOrder {
             endpoint: endpoint(number),
             layers,
         });
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -27,7 +27,7 @@
 use crate::clock::boot_ms;
 use crate::fleet::{EngineLoad, describe_list};
 use crate::ids::ZoneName;
-use crate::placement::PlaceOrder;
+use crate::placement::PlacementOrder;
 
 /// Longest datagram that arrives in one piece on any usual link is about 1,400 bytes; longer ones
 /// are split by the network and still arrive.
@@ -166,7 +166,7 @@
             },
         })
         .collect();
-    let limits = node.fleet.borrow_mut().pacing.next_told(now_ms);
+    let limits = node.fleet.borrow_mut().pacing.next_reports(now_ms);
     let answered_ms = node.store.get().answered_ms();
     let answered_ms = answered_ms.filter(|_| node.reads_store());
     OwnState {
@@ -265,7 +265,7 @@
     }
     let mut fleet = node.fleet.borrow_mut();
     for id in &heartbeat.leaving {
-        if fleet.told_leaving(&heartbeat.instance, id, now_ms) {
+        if fleet.record_peer_leaving(&heartbeat.instance, id, now_ms) {
             log::info!(
                 endpoint = id.as_str(),
                 peer = heartbeat.instance.as_str(),
@@ -275,16 +275,16 @@
         }
     }
     for id in &heartbeat.said_leaving {
-        if fleet.told_said_leaving(id, now_ms) {
+        if fleet.record_announced_leaving(id, now_ms) {
             log::info!(endpoint = id.as_str(), peer = heartbeat.instance.as_str(); "endpoint says that it is leaving, a peer says");
         }
     }
     for change in &changes {
-        fleet.shift_peers_load(&change.endpoint, change.before, change.now);
+        fleet.update_peers_load(&change.endpoint, change.before, change.now);
     }
     drop(fleet);
     for (endpoint, layers) in heartbeat.moving {
-        let order = PlaceOrder { endpoint, layers };
+        let order = PlacementOrder { endpoint, layers };
         node.heard_moving(&order);
         node.orders_heard.borrow_mut().push(order);
     }
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -16,7 +16,7 @@
 use super::send_view::SendView;
 use super::upstream::UpstreamFailure;
 use crate::clock::boot_ms;
-use crate::fleet::{Trouble, pick_replica};
+use crate::fleet::{EndpointFailure, pick_replica};
 use crate::ids::EndpointId;
 use crate::quarantine::Doubt;
 use crate::relay::{
@@ -42,7 +42,7 @@
 enum TryEnd {
     Answer(WholeAnswer),
     /// No answer to pass on; what it says of the endpoint.
-    Failed(AttemptEnd, Trouble),
+    Failed(AttemptEnd, EndpointFailure),
 }
 
 /// Relays a request until it has its final word.
@@ -111,7 +111,7 @@
         let (end, trouble) = match try_once(node, request, &endpoint, attempts).await {
             TryEnd::Answer(answer) if is_failure(&answer) => {
                 held = Some(answer);
-                (AttemptEnd::Failed, Trouble::Failed)
+                (AttemptEnd::Failed, EndpointFailure::Failed)
             }
             TryEnd::Answer(answer) => {
                 node.clear_request(request.digest);
@@ -131,7 +131,7 @@
         );
         attempts.exclude(&endpoint);
         node.troubled(&endpoint, trouble);
-        if trouble == Trouble::Broken {
+        if trouble == EndpointFailure::Broken {
             node.run_broke_off(request.digest, &endpoint, None);
             find_out_beside(node, &endpoint);
         }
@@ -171,10 +171,10 @@
         match node.upstreams.open_idle(address, boot_ms()).await {
             Ok(()) => {
                 if let Some(known) = node.fleet.borrow().get(&endpoint) {
-                    known.heard.note(boot_ms());
+                    known.last_heard.record(boot_ms());
                 }
             }
-            Err(UpstreamFailure::NoListener) => node.troubled(&endpoint, Trouble::Ended),
+            Err(UpstreamFailure::NoListener) => node.troubled(&endpoint, EndpointFailure::Ended),
             Err(failure) => {
                 log::debug!(endpoint = endpoint.as_str(), failure:% = failure; "whether a replica has ended is not known");
             }
@@ -212,7 +212,10 @@
     let limit_ms = request.route.objective_ms * TRY_OBJECTIVES;
     let limit = Duration::from_millis(limit_ms.min(request.left_ms(begun_ms) / 2));
     let end = timeout(limit, exchange).await;
-    end.unwrap_or(TryEnd::Failed(AttemptEnd::Abandoned, Trouble::Silent))
+    end.unwrap_or(TryEnd::Failed(
+        AttemptEnd::Abandoned,
+        EndpointFailure::Silent,
+    ))
 }
 
 async fn exchange<A>(node: &Rc<Node<A>>, request: &RelayedRequest, endpoint: &EndpointId) -> TryEnd
@@ -221,7 +224,7 @@
 {
     let begun_ms = boot_ms();
     let Some(address) = address_of(node, endpoint) else {
-        return TryEnd::Failed(AttemptEnd::NotSent, Trouble::Unreachable);
+        return TryEnd::Failed(AttemptEnd::NotSent, EndpointFailure::Unreachable);
     };
     let head = request.head_for(node, endpoint, None, None);
     let sent = node
@@ -262,7 +265,7 @@
     if let Some(known) = node.fleet.borrow_mut().get_mut(endpoint)
         && !head.status.is_server_error()
     {
-        known.standing.answered(now_ms.saturating_sub(begun_ms));
+        known.health.record_answer(now_ms.saturating_sub(begun_ms));
     }
     TryEnd::Answer(WholeAnswer {
         status: head.status,
@@ -275,13 +278,18 @@
 /// What an answer that cannot be passed on says.
 fn unusable(facts: &ReplyFacts, status: StatusCode) -> Option<TryEnd> {
     if facts.not_run || status == StatusCode::MISDIRECTED_REQUEST {
-        return Some(TryEnd::Failed(AttemptEnd::TurnedAway, Trouble::Full));
+        return Some(TryEnd::Failed(
+            AttemptEnd::TurnedAway,
+            EndpointFailure::Full,
+        ));
     }
     // These statuses promise a caller that nothing ran, and here the endpoint does not say so.
     let promises_unrun = matches!(status.as_u16(), 408 | 429 | 503);
     let is_unsealed = status.is_success() && !facts.is_sealed;
-    (promises_unrun || is_unsealed)
-        .then_some(TryEnd::Failed(AttemptEnd::Abandoned, Trouble::Failed))
+    (promises_unrun || is_unsealed).then_some(TryEnd::Failed(
+        AttemptEnd::Abandoned,
+        EndpointFailure::Failed,
+    ))
 }
 
 fn failed(failure: UpstreamFailure) -> TryEnd {
--- a/src/relay_server/questions.rs
+++ b/src/relay_server/questions.rs
@@ -145,7 +145,7 @@
     if answer.is_ok()
         && let Some(known) = node.fleet.borrow().get(id)
     {
-        known.heard.note(boot_ms());
+        known.last_heard.record(boot_ms());
     }
     answer
 }
@@ -164,10 +164,10 @@
     let zone = fleet.get(asked).map(|known| &known.listed.zone);
     let others = || {
         fleet.iter().filter(|known| {
-            known.id() != asked && known.listed.kind.is_some() && known.takes_work()
+            known.id() != asked && known.listed.kind.is_some() && known.accepts_work()
         })
     };
-    let heard_ms = |known: &&KnownEndpoint| known.heard.at_ms();
+    let heard_ms = |known: &&KnownEndpoint| known.last_heard.at_ms();
     let latest = others().max_by_key(heard_ms);
     let elsewhere = others()
         .filter(|known| Some(&known.listed.zone) != zone)
--- a/src/relay_server/room_notice.rs
+++ b/src/relay_server/room_notice.rs
@@ -115,7 +115,7 @@
     let mut fleet = node.fleet.borrow_mut();
     for id in &notice.full {
         if let Some(known) = fleet.get_mut(id)
-            && known.standing.was_full(now_ms)
+            && known.health.record_full(now_ms)
         {
             node.counters.count("relay.full.heard");
             log::info!(endpoint = id.as_str(), peer = notice.instance.as_str(); "engine is full, a peer says");
--- a/src/relay_server/room_notice_tests.rs
+++ b/src/relay_server/room_notice_tests.rs
@@ -1,7 +1,7 @@
 use super::heartbeat::heartbeat_bytes;
 use super::peer_book_tests::{READY, book, heartbeat};
 use super::room_notice::{RoomNotice, is_notice, notice_bytes, read_notice};
-use crate::fleet::Standing;
+use crate::fleet::EndpointHealth;
 use crate::ids::{EndpointId, InstanceId};
 
 #[test]
@@ -29,29 +29,29 @@
 // engine already.
 #[test]
 fn an_engine_is_news_once_for_as_long_as_it_counts_as_full() {
-    let mut standing = Standing::default();
-    assert!(standing.was_full(1_000));
-    assert!(!standing.was_full(1_100));
+    let mut standing = EndpointHealth::default();
+    assert!(standing.record_full(1_000));
+    assert!(!standing.record_full(1_100));
     let again_ms = standing.full_until_ms();
     assert!(standing.is_full(again_ms - 1));
-    assert!(standing.was_full(again_ms));
+    assert!(standing.record_full(again_ms));
 }
 
 // While the store was away 25 engines were emptied to be taken away. Each turned a request away every
 // 300 ms for as long as nobody could read that it was leaving.
 #[test]
 fn an_engine_that_takes_nothing_is_asked_more_and_more_rarely() {
-    let mut standing = Standing::default();
+    let mut standing = EndpointHealth::default();
     let mut tries = 0;
     for now_ms in 0..10_000 {
         if !standing.is_full(now_ms) {
-            standing.was_full(now_ms);
+            standing.record_full(now_ms);
             tries += 1;
         }
     }
     assert!(tries <= 11, "{tries}");
-    standing.took_request();
+    standing.record_accepted();
     let now_ms = standing.full_until_ms();
-    standing.was_full(now_ms);
+    standing.record_full(now_ms);
     assert_eq!(standing.full_until_ms() - now_ms, 300);
 }
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -209,7 +209,7 @@
         }
         node.upstreams.sweep(now_ms);
         node.checks.borrow_mut().sweep(now_ms);
-        let changes = node.fleet.borrow_mut().settle(now_ms);
+        let changes = node.fleet.borrow_mut().expire(now_ms);
         node.take_changes(&changes);
         node.settle_quarantine();
         checks::check_paused(&node).await;
--- a/src/relay_server/start_wait.rs
+++ b/src/relay_server/start_wait.rs
@@ -16,7 +16,7 @@
 impl<A> Node<A> {
     /// Whether the routes and the endpoints are known.
     pub(super) fn is_informed(&self) -> bool {
-        self.table.borrow().table().is_some() && self.fleet.borrow().is_known()
+        self.table.borrow().table().is_some() && self.fleet.borrow().is_loaded()
     }
 
     /// Wakes requests that wait for the routes and the endpoints, once both are known.
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -28,7 +28,7 @@
 use super::stream_answer::Opening;
 use super::upstream::{AnswerBody, Exchange, UpstreamFailure};
 use crate::clock::boot_ms;
-use crate::fleet::{Chain, ChainStage, Trouble};
+use crate::fleet::{Chain, ChainStage, EndpointFailure};
 use crate::ids::EndpointId;
 use crate::quarantine::RunStage;
 use crate::relay::{
@@ -52,7 +52,7 @@
     /// The request is withheld from engines; dropping the connection keeps it from running here.
     Withheld,
     /// The run is over before its end.
-    Failed(AttemptEnd, Trouble, EndpointId),
+    Failed(AttemptEnd, EndpointFailure, EndpointId),
 }
 
 /// One stream, over all its runs.
@@ -251,12 +251,16 @@
             self.note_full(&at_fault.endpoint);
             // It may be full, leaving, or dead; the answer does not say which.
             check_beside(&self.node, &at_fault);
-            return RunEnd::Failed(AttemptEnd::TurnedAway, Trouble::Full, at_fault.endpoint);
+            return RunEnd::Failed(
+                AttemptEnd::TurnedAway,
+                EndpointFailure::Full,
+                at_fault.endpoint,
+            );
         }
         if !head.status.is_success() || !facts.is_sealed {
             let first = held.chain().first().endpoint.clone();
             self.failure = self.read_failure(&head, body).await;
-            return RunEnd::Failed(AttemptEnd::Failed, Trouble::Failed, first);
+            return RunEnd::Failed(AttemptEnd::Failed, EndpointFailure::Failed, first);
         }
         self.head_ms = Some(boot_ms());
         self.node.took_request(held.chain());
@@ -434,7 +438,7 @@
     fn broken(&self, failure: UpstreamFailure, chain: &Chain) -> RunEnd {
         let first = chain.first().endpoint.clone();
         match failure {
-            UpstreamFailure::NoListener => self.node.troubled(&first, Trouble::Ended),
+            UpstreamFailure::NoListener => self.node.troubled(&first, EndpointFailure::Ended),
             UpstreamFailure::NoConnection | UpstreamFailure::Broken => {
                 check_beside(&self.node, chain.first());
             }
--- a/src/relay_server/stream/go_on.rs
+++ b/src/relay_server/stream/go_on.rs
@@ -81,7 +81,7 @@
     fn plan_with_readmitted(&mut self) -> Option<Chain> {
         let fleet = self.node.fleet.borrow();
         self.attempts
-            .readmit(|id| fleet.get(id).is_some_and(KnownEndpoint::takes_work));
+            .readmit(|id| fleet.get(id).is_some_and(KnownEndpoint::accepts_work));
         drop(fleet);
         self.plan(None)
     }
@@ -91,7 +91,7 @@
         let fleet = self.node.fleet.borrow();
         let stages = chain.stages().iter();
         let known = stages.filter_map(|stage| fleet.get(&stage.endpoint));
-        let until_ms = known.map(|known| known.standing.full_until_ms());
+        let until_ms = known.map(|known| known.health.full_until_ms());
         until_ms.max().unwrap_or(0)
     }
 
--- a/src/relay_server/stream/plan.rs
+++ b/src/relay_server/stream/plan.rs
@@ -6,7 +6,7 @@
 
 use super::StreamRelay;
 use crate::clock::boot_ms;
-use crate::fleet::{Chain, ChainAsk, first_gap, plan_chain};
+use crate::fleet::{Chain, ChainRequest, first_gap, plan_chain};
 use crate::ids::EndpointId;
 use crate::relay::{Attempts, RefusalCause};
 use crate::relay_server::adapter::Adapter;
@@ -92,7 +92,7 @@
         let fleet = self.node.fleet.borrow();
         let is_full = |id: &EndpointId| {
             let known = fleet.get(id);
-            known.is_some_and(|known| known.standing.is_full(now_ms))
+            known.is_some_and(|known| known.health.is_full(now_ms))
         };
         !chain.stages().iter().any(|stage| is_full(&stage.endpoint))
     }
@@ -107,9 +107,9 @@
         &'a self,
         attempts: &'a Attempts,
         present: Option<&'a Chain>,
-    ) -> Option<ChainAsk<'a>> {
+    ) -> Option<ChainRequest<'a>> {
         let service = self.request.table.services.get(&self.request.service)?;
-        Some(ChainAsk {
+        Some(ChainRequest {
             service: &self.request.service,
             model: service.model.as_ref()?,
             own_zone: &self.node.settings.zone,
--- a/src/relay_server/stream/repair.rs
+++ b/src/relay_server/stream/repair.rs
@@ -2,7 +2,7 @@
 
 use super::{RunEnd, StreamRelay, stage_at};
 use crate::clock::boot_ms;
-use crate::fleet::{Chain, Trouble, replace_stage};
+use crate::fleet::{Chain, EndpointFailure, replace_stage};
 use crate::ids::EndpointId;
 use crate::relay::{AttemptEnd, StallStep};
 use crate::relay_server::adapter::{Adapter, EngineControl, OrderFailure};
@@ -34,7 +34,7 @@
                 let first = held.chain().first().endpoint.clone();
                 Err(RunEnd::Failed(
                     AttemptEnd::Abandoned,
-                    Trouble::Silent,
+                    EndpointFailure::Silent,
                     first,
                 ))
             }
@@ -75,7 +75,11 @@
             return Ok(());
         }
         if unsound == first {
-            return Err(RunEnd::Failed(AttemptEnd::Lost, Trouble::Silent, first));
+            return Err(RunEnd::Failed(
+                AttemptEnd::Lost,
+                EndpointFailure::Silent,
+                first,
+            ));
         }
         for _ in 0..MOST_REROUTES {
             // A stage without room was found by the last order.
@@ -108,7 +112,11 @@
         if !self.can_resume(held.chain()) {
             return Ok(());
         }
-        Err(RunEnd::Failed(AttemptEnd::Lost, Trouble::Silent, unsound))
+        Err(RunEnd::Failed(
+            AttemptEnd::Lost,
+            EndpointFailure::Silent,
+            unsound,
+        ))
     }
 
     /// Whether another run could go on where the present one stands.
@@ -176,7 +184,7 @@
             let is_excluded = id != first && self.attempts.excluded().contains(id);
             let is_lost = fleet
                 .get(id)
-                .is_some_and(|known| known.standing.has_ended() || is_silent && known.is_lost());
+                .is_some_and(|known| known.health.has_ended() || is_silent && known.is_lost());
             is_excluded || is_lost || fleet.has_ended(id)
         };
         let stages = chain.stages().iter().map(|stage| &stage.endpoint);
--- a/src/relay_server/upstream.rs
+++ b/src/relay_server/upstream.rs
@@ -22,7 +22,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::fleet::Trouble;
+use crate::fleet::EndpointFailure;
 use crate::relay::AttemptEnd;
 
 /// Longest wait for a connection: links take a few milliseconds at most, and a first lost packet
@@ -66,13 +66,13 @@
     }
 
     /// What the failure says of the request, and of the endpoint.
-    pub(crate) fn meaning(self) -> (AttemptEnd, Trouble) {
+    pub(crate) fn meaning(self) -> (AttemptEnd, EndpointFailure) {
         match self {
-            Self::NoConnection => (AttemptEnd::NotSent, Trouble::Unreachable),
-            Self::NoListener => (AttemptEnd::NotSent, Trouble::Ended),
-            Self::Broken => (AttemptEnd::Lost, Trouble::Broken),
-            Self::Garbled => (AttemptEnd::Lost, Trouble::Garbled),
-            Self::Withdrawn => (AttemptEnd::NotSent, Trouble::Withdrawn),
+            Self::NoConnection => (AttemptEnd::NotSent, EndpointFailure::Unreachable),
+            Self::NoListener => (AttemptEnd::NotSent, EndpointFailure::Ended),
+            Self::Broken => (AttemptEnd::Lost, EndpointFailure::Broken),
+            Self::Garbled => (AttemptEnd::Lost, EndpointFailure::Garbled),
+            Self::Withdrawn => (AttemptEnd::NotSent, EndpointFailure::Withdrawn),
         }
     }
 }
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -134,7 +134,7 @@
         // It was in service when the run broke off, and neither drained nor answered since.
         None => Fate::Ended,
         Some(known) if known.listed.phase == Phase::Leaving => Fate::Ended,
-        Some(known) if known.heard.at_ms() > broke_ms + UNDER_WAY_MS => Fate::Lives,
+        Some(known) if known.last_heard.at_ms() > broke_ms + UNDER_WAY_MS => Fate::Lives,
         Some(_) => Fate::Unknown,
     }
 }
