--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -16,7 +16,7 @@
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::lease::LeaseHolder;
-use crate::placement::PlaceOrder;
+use crate::placement::PlacementOrder;
 use crate::relay::Lender;
 use crate::wire::engine::LayerRange;
 
@@ -369,7 +369,7 @@
     }
 
     /// Has peers told that an engine is about to hold other layers.
-    pub(crate) fn announce_layer_move(&mut self, order: &PlaceOrder) {
+    pub(crate) fn announce_layer_move(&mut self, order: &PlacementOrder) {
         self.moving.push((order.endpoint.clone(), order.layers));
         self.has_news = true;
     }
