--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexSet;
 
-use super::{AttemptLimit, FinalWord, GivenUp, RefusalCause};
+use super::{AttemptLimit, FinalError, GivenUp, RefusalCause};
 use crate::ids::EndpointId;
 use crate::invariant;
 use crate::route_table::Repeat;
@@ -48,7 +48,7 @@
 }
 
 /// The attempts of one request. Invariants: once it may have run, a request that must run at most
-/// once is not sent again and its final word is not [`FinalWord::NotRun`]; it may have run on no
+/// once is not sent again and its final word is not [`FinalError::NotRun`]; it may have run on no
 /// more than `max_endpoints` endpoints that live; once the caller holds a part of an answer that can
 /// be gone on with, neither a repeat that is turned away nor a spent budget ends it.
 #[derive(Clone, Debug)]
@@ -236,11 +236,11 @@
         }
     }
 
-    fn word(&self, cause: RefusalCause) -> FinalWord {
+    fn word(&self, cause: RefusalCause) -> FinalError {
         match (self.may_have_run() || self.under_way.is_some(), cause) {
-            (false, cause) => FinalWord::NotRun(cause),
-            (true, RefusalCause::TooLate) => FinalWord::TimedOut,
-            (true, _) => FinalWord::Unknown,
+            (false, cause) => FinalError::NotRun(cause),
+            (true, RefusalCause::TooLate) => FinalError::TimedOut,
+            (true, _) => FinalError::Unknown,
         }
     }
 
--- a/src/relay/budget.rs
+++ b/src/relay/budget.rs
@@ -3,22 +3,22 @@
 //! All instances together may repeat a fixed part of the requests of a service in a window, and a
 //! fixed number besides. Each instance has the part of its own requests and an even share of the
 //! number, so that no message is needed to keep to the sum. Those of a zone lend one another
-//! what they do not need; see [`pool`](super::pool).
+//! what they do not need; see [`loans`](super::loans).
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::pool::{Lender, RepeatAmount, RepeatLoan, Stock, deal};
+use super::loans::{Lender, RetryAmount, RetryLoan, Stock, deal};
 use super::window::Window;
 use crate::ids::ServiceName;
 
 /// What a repeat is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum RepeatPurpose {
+pub enum RetryPurpose {
     /// To get an answer begun.
-    Begin,
+    Start,
     /// To go on with an answer of which the caller holds a part.
-    GoOn,
+    Resume,
 }
 
 /// What all instances together may repeat in a window, and among how many it is shared.
@@ -63,7 +63,7 @@
         &mut self,
         service: &ServiceName,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> bool {
         let window = self.window(service, share, now_ms);
@@ -71,11 +71,11 @@
     }
 
     /// Notes that a repeat is waited for, so that one is asked for of other instances.
-    pub fn await_one(
+    pub fn note_demand(
         &mut self,
         service: &ServiceName,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) {
         self.window(service, share, now_ms).asked(purpose, now_ms);
@@ -86,7 +86,7 @@
         &mut self,
         service: &ServiceName,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> bool {
         let window = self.window(service, share, now_ms);
@@ -99,25 +99,25 @@
     }
 
     /// Puts a repeat back that was taken and not sent.
-    pub fn cancel(&mut self, service: &ServiceName) {
+    pub fn refund(&mut self, service: &ServiceName) {
         if let Some(window) = self.services.get_mut(service) {
             window.cancel_newest();
         }
     }
 
     /// Repeats within the budget that are left, for log lines.
-    pub fn left(&mut self, service: &ServiceName, share: BudgetShare, now_ms: u64) -> u32 {
+    pub fn remaining(&mut self, service: &ServiceName, share: BudgetShare, now_ms: u64) -> u32 {
         let window = self.window(service, share, now_ms);
         window.left_repeats(share, now_ms)
     }
 
     /// When a repeat will be within the budget by the passing of time: `now_ms` if one is left now,
     /// [`u64::MAX`] if only a loan or more requests can bring one. A loan may bring it sooner.
-    pub fn next_left_ms(
+    pub fn next_available_ms(
         &mut self,
         service: &ServiceName,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> u64 {
         let window = self.window(service, share, now_ms);
@@ -126,15 +126,15 @@
     }
 
     /// Repeats that this instance lacks, by service.
-    pub fn needs(&mut self, share: BudgetShare, now_ms: u64) -> Vec<RepeatAmount> {
+    pub fn needs(&mut self, share: BudgetShare, now_ms: u64) -> Vec<RetryAmount> {
         let needs = self.services.iter_mut().flat_map(|(service, window)| {
             window.forget_old(share, now_ms);
-            [RepeatPurpose::GoOn, RepeatPurpose::Begin].map(|purpose| {
+            [RetryPurpose::Resume, RetryPurpose::Start].map(|purpose| {
                 let milli = window.need_milli(share, purpose, now_ms);
                 amount(service, purpose, milli)
             })
         });
-        needs.filter(|need| need.milli_repeats > 0).collect()
+        needs.filter(|need| need.milli_retries > 0).collect()
     }
 
     /// What this instance could lend to get answers begun, of all services together, in thousandths of a
@@ -143,7 +143,7 @@
         let windows = self.services.values_mut();
         let spare = windows.map(|window| {
             window.forget_old(share, now_ms);
-            window.spare_milli(share, RepeatPurpose::Begin, now_ms)
+            window.spare_milli(share, RetryPurpose::Start, now_ms)
         });
         spare.sum()
     }
@@ -152,10 +152,10 @@
     /// which it is wanted. What is lent is gone here, whether or not it arrives.
     pub fn lend(
         &mut self,
-        wanted: &[RepeatAmount],
+        wanted: &[RetryAmount],
         share: BudgetShare,
         now_ms: u64,
-    ) -> Vec<RepeatLoan> {
+    ) -> Vec<RetryLoan> {
         let mut stock = OwnStock {
             budget: self,
             share,
@@ -168,30 +168,30 @@
     /// loan must be taken in once.
     pub fn borrow(
         &mut self,
-        loans: &[RepeatLoan],
+        loans: &[RetryLoan],
         lender: &Lender,
         share: BudgetShare,
         asked_ms: u64,
         now_ms: u64,
     ) {
-        for RepeatLoan { id, amount } in loans {
+        for RetryLoan { id, amount } in loans {
             let window = self.window(&amount.service, share, now_ms);
-            let milli = u64::from(amount.milli_repeats);
+            let milli = u64::from(amount.milli_retries);
             window.borrow(lender, *id, milli, amount.purpose, asked_ms);
         }
     }
 
     /// What is left of the loans that have ended since this was last asked. It is not used any more.
-    pub fn give_back(&mut self, now_ms: u64) -> Vec<(Lender, RepeatLoan)> {
+    pub fn take_expired(&mut self, now_ms: u64) -> Vec<(Lender, RetryLoan)> {
         let mut given = Vec::new();
         for (service, window) in &mut self.services {
-            for purpose in [RepeatPurpose::GoOn, RepeatPurpose::Begin] {
+            for purpose in [RetryPurpose::Resume, RetryPurpose::Start] {
                 given.extend(
                     window
                         .give_back(purpose, now_ms)
                         .map(|(lender, id, milli)| {
                             let amount = amount(service, purpose, milli);
-                            (lender, RepeatLoan { id, amount })
+                            (lender, RetryLoan { id, amount })
                         }),
                 );
             }
@@ -200,10 +200,10 @@
     }
 
     /// Takes back what others have not used of loans of this process.
-    pub fn take_back(&mut self, unused: &[RepeatLoan]) {
-        for RepeatLoan { id, amount } in unused {
+    pub fn reclaim(&mut self, unused: &[RetryLoan]) {
+        for RetryLoan { id, amount } in unused {
             if let Some(window) = self.services.get_mut(&amount.service) {
-                window.take_back(*id, u64::from(amount.milli_repeats));
+                window.take_back(*id, u64::from(amount.milli_retries));
             }
         }
     }
@@ -227,27 +227,27 @@
 }
 
 impl Stock for OwnStock<'_> {
-    fn spare_milli(&mut self, service: &ServiceName, purpose: RepeatPurpose) -> u64 {
+    fn spare_milli(&mut self, service: &ServiceName, purpose: RetryPurpose) -> u64 {
         let window = self.budget.window(service, self.share, self.now_ms);
         window.spare_milli(self.share, purpose, self.now_ms)
     }
 
-    fn lend(&mut self, amount: RepeatAmount) -> RepeatLoan {
+    fn lend(&mut self, amount: RetryAmount) -> RetryLoan {
         let id = self.budget.next_loan;
         self.budget.next_loan = id.wrapping_add(1);
-        if amount.milli_repeats > 0 {
+        if amount.milli_retries > 0 {
             let window = self.budget.window(&amount.service, self.share, self.now_ms);
-            let milli = u64::from(amount.milli_repeats);
+            let milli = u64::from(amount.milli_retries);
             window.lend(id, milli, self.share, self.now_ms);
         }
-        RepeatLoan { id, amount }
+        RetryLoan { id, amount }
     }
 }
 
-fn amount(service: &ServiceName, purpose: RepeatPurpose, milli: u64) -> RepeatAmount {
-    RepeatAmount {
+fn amount(service: &ServiceName, purpose: RetryPurpose, milli: u64) -> RetryAmount {
+    RetryAmount {
         service: service.clone(),
         purpose,
-        milli_repeats: u32::try_from(milli).unwrap_or(u32::MAX),
+        milli_retries: u32::try_from(milli).unwrap_or(u32::MAX),
     }
 }
--- a/src/relay/limits.rs
+++ b/src/relay/limits.rs
@@ -1,6 +1,6 @@
 //! The limits that end a request for which no endpoint's answer came.
 
-use super::{FinalWord, RefusalCause};
+use super::{FinalError, RefusalCause};
 
 /// What kept a request from being sent once more. The final word alone does not tell: a caller that
 /// holds a part of its answer hears the same word whichever limit it was.
@@ -79,7 +79,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GivenUp {
     /// What the caller hears.
-    pub word: FinalWord,
+    pub word: FinalError,
     /// What kept it from being sent once more.
     pub limit: AttemptLimit,
 }
--- a/src/relay/limits_tests.rs
+++ b/src/relay/limits_tests.rs
@@ -24,7 +24,7 @@
 fn what_may_run_once_only_ends_when_it_may_have_run() {
     let end = given_up(Repeat::NonIdempotent, 4, [AttemptEnd::Lost], true);
     assert_eq!(end.limit, AttemptLimit::MayHaveRun);
-    assert_eq!(end.word, FinalWord::Unknown);
+    assert_eq!(end.word, FinalError::Unknown);
 }
 
 #[test]
@@ -32,14 +32,14 @@
     let lost = [AttemptEnd::Lost, AttemptEnd::Abandoned];
     let end = given_up(Repeat::Idempotent, 2, lost, true);
     assert_eq!(end.limit, AttemptLimit::Endpoints);
-    assert_eq!(end.word, FinalWord::Unknown);
+    assert_eq!(end.word, FinalError::Unknown);
 }
 
 #[test]
 fn a_request_that_is_turned_away_again_and_again_ends_by_its_turns() {
     let end = given_up(STREAM, 2, [AttemptEnd::TurnedAway; 8], true);
     assert_eq!(end.limit, AttemptLimit::TurnedAway);
-    assert_eq!(end.word, FinalWord::NotRun(RefusalCause::Full));
+    assert_eq!(end.word, FinalError::NotRun(RefusalCause::Full));
 }
 
 #[test]
@@ -52,10 +52,10 @@
 fn a_spent_budget_is_named_though_the_caller_hears_only_that_the_answer_is_lost() {
     let begun = given_up(STREAM, 2, [AttemptEnd::Lost], false);
     assert_eq!(begun.limit, AttemptLimit::Budget);
-    assert_eq!(begun.word, FinalWord::Unknown);
+    assert_eq!(begun.word, FinalError::Unknown);
     let unrun = given_up(STREAM, 2, [AttemptEnd::TurnedAway], false);
     assert_eq!(unrun.limit, AttemptLimit::Budget);
-    assert_eq!(unrun.word, FinalWord::NotRun(RefusalCause::NoBudget));
+    assert_eq!(unrun.word, FinalError::NotRun(RefusalCause::NoBudget));
 }
 
 #[test]
@@ -106,9 +106,9 @@
     for at_ms in 0..50 {
         budget.request(&service, share, at_ms);
     }
-    budget.take(&service, share, RepeatPurpose::Begin, 100);
-    let left = budget.left(&service, share, 100);
-    let taken = (0..100).filter(|_| budget.take(&service, share, RepeatPurpose::Begin, 100));
+    budget.take(&service, share, RetryPurpose::Start, 100);
+    let left = budget.remaining(&service, share, 100);
+    let taken = (0..100).filter(|_| budget.take(&service, share, RetryPurpose::Start, 100));
     assert_eq!(left as usize, taken.count());
-    assert_eq!(budget.left(&service, share, 100), 0);
+    assert_eq!(budget.remaining(&service, share, 100), 0);
 }
--- a/src/relay/pool_tests/mod.rs
+++ b/src/relay/loan_tests/mod.rs
@@ -1,14 +1,16 @@
 //! Instances in simulated time: heartbeats that are lost and late, demand that is uneven, processes
 //! that start anew.
 
-mod world;
+mod simulation;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use self::world::{Demand, NO_TROUBLE, RATIO, RUN_MS, SLACK, STEP_MS, Trouble, WINDOW_MS, World};
+use self::simulation::{
+    Demand, NO_TROUBLE, RATIO, RUN_MS, SLACK, STEP_MS, Simulation, Trouble, WINDOW_MS,
+};
 use super::*;
 use crate::ids::ServiceName;
 
@@ -57,7 +59,7 @@
         are_requests_there in any::<bool>(),
         seed in any::<u64>(),
     ) {
-        let mut world = World::new(count, zones, trouble, seed);
+        let mut world = Simulation::new(count, zones, trouble, seed);
         for now_ms in (0..RUN_MS).step_by(STEP_MS as usize) {
             world.step(now_ms);
             let askers = world.askers(demand, now_ms);
@@ -73,10 +75,10 @@
 
 /// Repeats that one instance of a zone of 29 gets within a window, if it alone needs any.
 fn repeats_of_one_in_need() -> usize {
-    let mut world = World::new(29, 1, NO_TROUBLE, 29);
+    let mut world = Simulation::new(29, 1, NO_TROUBLE, 29);
     for now_ms in (0..WINDOW_MS).step_by(STEP_MS as usize) {
         world.step(now_ms);
-        world.repeat(0, RepeatPurpose::Begin, now_ms);
+        world.repeat(0, RetryPurpose::Start, now_ms);
     }
     world.repeats_ms.len()
 }
@@ -104,29 +106,29 @@
         instances: 29,
     };
     let mut budget = RetryBudget::default();
-    while budget.take(&service, share, RepeatPurpose::Begin, 5_000) {}
-    assert!(budget.take(&service, share, RepeatPurpose::GoOn, 5_000));
+    while budget.take(&service, share, RetryPurpose::Start, 5_000) {}
+    assert!(budget.take(&service, share, RetryPurpose::Resume, 5_000));
 }
 
 /// A request that was refused for want of repeats could not know when one would be left.
 #[test]
 fn the_time_of_the_next_repeat_is_that_at_which_one_is_left() {
-    let mut world = World::new(3, 1, NO_TROUBLE, 3);
+    let mut world = Simulation::new(3, 1, NO_TROUBLE, 3);
     let (service, share) = (world.service.clone(), world.share);
     for now_ms in [1_000, 1_700, 4_400] {
         for _ in 0..20 {
-            world.repeat(0, RepeatPurpose::Begin, now_ms);
+            world.repeat(0, RetryPurpose::Start, now_ms);
         }
     }
     let budget = &mut world.instances[0].budget;
-    let purpose = RepeatPurpose::Begin;
+    let purpose = RetryPurpose::Start;
     assert!(!budget.has_left(&service, share, purpose, 5_000));
-    let next_ms = budget.next_left_ms(&service, share, purpose, 5_000);
+    let next_ms = budget.next_available_ms(&service, share, purpose, 5_000);
     assert!(next_ms > 5_000, "{next_ms}");
     assert!(!budget.has_left(&service, share, purpose, next_ms - 1));
     assert!(budget.has_left(&service, share, purpose, next_ms));
     assert_eq!(
-        budget.next_left_ms(&service, share, purpose, next_ms),
+        budget.next_available_ms(&service, share, purpose, next_ms),
         next_ms
     );
 }
@@ -136,16 +138,16 @@
 /// were cut off, though each of the other 28 instances still kept a part for begun ones.
 #[test]
 fn begun_answers_go_on_with_what_the_zone_keeps_for_them() {
-    let mut world = World::new(29, 1, NO_TROUBLE, 24);
+    let mut world = Simulation::new(29, 1, NO_TROUBLE, 24);
     let everybody: Vec<usize> = (0..29).collect();
     let mut went_on_ms = Vec::new();
     for now_ms in (0..9_000).step_by(STEP_MS as usize) {
         world.step(now_ms);
         for at in &everybody {
-            world.repeat(*at, RepeatPurpose::Begin, now_ms);
+            world.repeat(*at, RetryPurpose::Start, now_ms);
         }
         if now_ms >= 8_000 && went_on_ms.len() < 10 {
-            while went_on_ms.len() < 10 && world.repeat(0, RepeatPurpose::GoOn, now_ms) {
+            while went_on_ms.len() < 10 && world.repeat(0, RetryPurpose::Resume, now_ms) {
                 went_on_ms.push(now_ms - 8_000);
             }
         }
@@ -165,12 +167,12 @@
     };
     let mut budget = RetryBudget::default();
     assert_eq!(budget.needs(share, 0), Vec::new());
-    budget.await_one(&service, share, RepeatPurpose::GoOn, 0);
+    budget.note_demand(&service, share, RetryPurpose::Resume, 0);
     let needs = budget.needs(share, 0);
     let wanted = needs.iter().map(|need| (&need.service, need.purpose));
     assert_eq!(
         wanted.collect::<Vec<_>>(),
-        [(&service, RepeatPurpose::GoOn)]
+        [(&service, RetryPurpose::Resume)]
     );
 }
 
@@ -178,7 +180,7 @@
 /// first `askers` need eight at once to get answers begun, and do not wait for them.
 fn repeats_of_bursts(loss: f64, bursts_per_s: f64, askers: usize) -> usize {
     let trouble = Trouble { loss, ..NO_TROUBLE };
-    let mut world = World::new(29, 1, trouble, 5);
+    let mut world = Simulation::new(29, 1, trouble, 5);
     let mut demand = SmallRng::seed_from_u64(6);
     for now_ms in (0..RUN_MS).step_by(STEP_MS as usize) {
         world.step(now_ms);
@@ -186,7 +188,7 @@
         if demand.random::<f64>() < bursts_per_s * STEP_MS as f64 / 1_000.0 {
             let at = demand.random_range(0..askers);
             for _ in 0..8 {
-                world.repeat(at, RepeatPurpose::Begin, now_ms);
+                world.repeat(at, RetryPurpose::Start, now_ms);
             }
         }
     }
@@ -215,22 +217,22 @@
 /// What came back of a loan with a heartbeat that the network repeated would be lent twice.
 #[test]
 fn what_is_given_back_counts_once() {
-    let World {
+    let Simulation {
         mut instances,
         service,
         share,
         ..
-    } = World::new(3, 1, NO_TROUBLE, 3);
-    let want = RepeatAmount {
+    } = Simulation::new(3, 1, NO_TROUBLE, 3);
+    let want = RetryAmount {
         service,
-        purpose: RepeatPurpose::Begin,
-        milli_repeats: 9_000,
+        purpose: RetryPurpose::Start,
+        milli_retries: 9_000,
     };
     let budget = &mut instances[0].budget;
     let loans = budget.lend(&[want.clone(), want], share, 1_000);
     let spare_milli = budget.spare_milli(share, 1_000);
     for _ in 0..2 {
-        budget.take_back(&loans[..1]);
+        budget.reclaim(&loans[..1]);
     }
     assert_eq!(budget.spare_milli(share, 1_000), spare_milli + 9_000);
 }
--- a/src/relay/pool_tests/world.rs
+++ b/src/relay/loan_tests/simulation.rs
@@ -48,15 +48,15 @@
 };
 
 enum Message {
-    Needs(Vec<RepeatAmount>),
+    Needs(Vec<RetryAmount>),
     Grants {
-        loans: Vec<RepeatLoan>,
+        loans: Vec<RetryLoan>,
         /// When the needs that are answered were told, and by which process.
         asked_ms: u64,
         asker_process: u32,
     },
     GivenBack {
-        unused: RepeatLoan,
+        unused: RetryLoan,
         lender: Lender,
     },
 }
@@ -72,7 +72,7 @@
 }
 
 struct Needs {
-    needs: Vec<RepeatAmount>,
+    needs: Vec<RetryAmount>,
     told_ms: u64,
     process: u32,
 }
@@ -87,7 +87,7 @@
     restart_ms: Option<u64>,
 }
 
-pub(super) struct World {
+pub(super) struct Simulation {
     pub(super) instances: Vec<Instance>,
     zones: usize,
     pub(super) share: BudgetShare,
@@ -100,7 +100,7 @@
     pub(super) worst_overdraw: f64,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new(count: usize, zones: usize, trouble: Trouble, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let instances = (0..count)
@@ -194,7 +194,7 @@
                 Message::GivenBack { unused, lender }
                     if lender == self::lender(datagram.to, instance.process) =>
                 {
-                    instance.budget.take_back(&[unused]);
+                    instance.budget.reclaim(&[unused]);
                 }
                 Message::Grants { .. } | Message::GivenBack { .. } => {}
             }
@@ -216,7 +216,7 @@
                 self.send(from, *to, Message::Needs(needs.clone()), now_ms);
             }
             self.grant(from, &near, now_ms);
-            for (lender, unused) in self.instances[from].budget.give_back(now_ms) {
+            for (lender, unused) in self.instances[from].budget.take_expired(now_ms) {
                 let to = lender.instance.as_str().parse().expect("it is a number");
                 self.send(from, to, Message::GivenBack { unused, lender }, now_ms);
             }
@@ -230,7 +230,7 @@
             let heard = lender.heard[at].as_ref();
             heard.is_some_and(|it| it.needs.iter().any(|need| need.purpose == purpose))
         };
-        let lenders = [RepeatPurpose::Begin, RepeatPurpose::GoOn].map(|purpose| {
+        let lenders = [RetryPurpose::Start, RetryPurpose::Resume].map(|purpose| {
             let in_need = near.iter().filter(|at| lacks(**at, purpose)).count();
             near.len() + 1 - in_need
         });
@@ -241,17 +241,17 @@
                 continue;
             };
             for need in heard.needs {
-                let lenders = lenders[usize::from(need.purpose == RepeatPurpose::GoOn)];
+                let lenders = lenders[usize::from(need.purpose == RetryPurpose::Resume)];
                 asked.push((*to, heard.told_ms, heard.process));
-                wanted.push(RepeatAmount {
-                    milli_repeats: pool::part_of_need(need.milli_repeats, lenders),
+                wanted.push(RetryAmount {
+                    milli_retries: loans::share_of_need(need.milli_retries, lenders),
                     ..need
                 });
             }
         }
         let granted = lender.budget.lend(&wanted, share, now_ms);
         for (loan, (to, asked_ms, asker_process)) in granted.into_iter().zip(asked) {
-            if loan.amount.milli_repeats > 0 {
+            if loan.amount.milli_retries > 0 {
                 let message = Message::Grants {
                     loans: vec![loan],
                     asked_ms,
@@ -292,7 +292,7 @@
         }
     }
 
-    pub(super) fn repeat(&mut self, at: usize, purpose: RepeatPurpose, now_ms: u64) -> bool {
+    pub(super) fn repeat(&mut self, at: usize, purpose: RetryPurpose, now_ms: u64) -> bool {
         let budget = &mut self.instances[at].budget;
         let is_taken = budget.take(&self.service, self.share, purpose, now_ms);
         if is_taken {
@@ -314,9 +314,9 @@
     pub(super) fn ask(&mut self, askers: &[usize], now_ms: u64) {
         for at in askers.iter().copied() {
             let purpose = if self.rng.random::<bool>() {
-                RepeatPurpose::Begin
+                RetryPurpose::Start
             } else {
-                RepeatPurpose::GoOn
+                RetryPurpose::Resume
             };
             self.repeat(at, purpose, now_ms);
         }
--- a/src/relay/pool.rs
+++ b/src/relay/loans.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::budget::RepeatPurpose;
+use super::budget::RetryPurpose;
 use crate::ids::{Incarnation, InstanceId, ServiceName};
 
 /// One repeat, in thousandths.
@@ -21,22 +21,22 @@
 
 /// Repeats for a service: asked for, or granted by another instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RepeatAmount {
+pub struct RetryAmount {
     /// The service whose requests are repeated.
     pub service: ServiceName,
     /// What they are for. Those to go on are used for nothing else.
-    pub purpose: RepeatPurpose,
+    pub purpose: RetryPurpose,
     /// Thousandths of a repeat: an even share of a small budget is less than one.
-    pub milli_repeats: u32,
+    pub milli_retries: u32,
 }
 
 /// A loan, or what is given back of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RepeatLoan {
+pub struct RetryLoan {
     /// Names the loan among those of the lending process.
     pub id: u32,
     /// What is lent, or was not used.
-    pub amount: RepeatAmount,
+    pub amount: RetryAmount,
 }
 
 /// The process that lent something.
@@ -154,33 +154,33 @@
 }
 
 /// What each of the lenders that are asked should give, so that all together give what is needed.
-pub(crate) fn part_of_need(milli_repeats: u32, lenders: usize) -> u32 {
+pub(crate) fn share_of_need(milli_retries: u32, lenders: usize) -> u32 {
     let lenders = u32::try_from(lenders.max(1)).unwrap_or(u32::MAX);
-    milli_repeats.div_ceil(lenders)
+    milli_retries.div_ceil(lenders)
 }
 
 /// Deals out what can be spared, by what is wanted: first to go on with answers. The loans come
 /// in the order of what is wanted; some may be of nothing.
-pub(super) fn deal<S>(wanted: &[RepeatAmount], stock: &mut S) -> Vec<RepeatLoan>
+pub(super) fn deal<S>(wanted: &[RetryAmount], stock: &mut S) -> Vec<RetryLoan>
 where
     S: Stock,
 {
-    let mut sums: IndexMap<(&ServiceName, RepeatPurpose), u64> = IndexMap::new();
+    let mut sums: IndexMap<(&ServiceName, RetryPurpose), u64> = IndexMap::new();
     for want in wanted {
-        *sums.entry((&want.service, want.purpose)).or_default() += u64::from(want.milli_repeats);
+        *sums.entry((&want.service, want.purpose)).or_default() += u64::from(want.milli_retries);
     }
-    sums.sort_by_key(|(_, purpose), _| *purpose == RepeatPurpose::Begin);
-    let mut loans: Vec<Option<RepeatLoan>> = vec![None; wanted.len()];
+    sums.sort_by_key(|(_, purpose), _| *purpose == RetryPurpose::Start);
+    let mut loans: Vec<Option<RetryLoan>> = vec![None; wanted.len()];
     for ((service, purpose), sum) in sums {
         let spare = stock.spare_milli(service, purpose).min(sum);
         for (want, loan) in wanted.iter().zip(&mut loans) {
             if (&want.service, want.purpose) != (service, purpose) {
                 continue;
             }
-            let dealt = u64::from(want.milli_repeats).saturating_mul(spare) / sum.max(1);
-            let milli_repeats = u32::try_from(dealt).unwrap_or(want.milli_repeats);
-            let amount = RepeatAmount {
-                milli_repeats,
+            let dealt = u64::from(want.milli_retries).saturating_mul(spare) / sum.max(1);
+            let milli_retries = u32::try_from(dealt).unwrap_or(want.milli_retries);
+            let amount = RetryAmount {
+                milli_retries,
                 ..want.clone()
             };
             *loan = Some(stock.lend(amount));
@@ -192,7 +192,7 @@
 /// Where loans come from.
 pub(super) trait Stock {
     /// What may be lent of a service for a purpose.
-    fn spare_milli(&mut self, service: &ServiceName, purpose: RepeatPurpose) -> u64;
+    fn spare_milli(&mut self, service: &ServiceName, purpose: RetryPurpose) -> u64;
     /// Lends it.
-    fn lend(&mut self, amount: RepeatAmount) -> RepeatLoan;
+    fn lend(&mut self, amount: RetryAmount) -> RetryLoan;
 }
--- a/src/relay/mod.rs
+++ b/src/relay/mod.rs
@@ -7,14 +7,14 @@
 mod attempts;
 mod budget;
 mod events;
-mod go_on;
 mod limits;
 #[cfg(test)]
 mod limits_tests;
-mod pool;
 #[cfg(test)]
-mod pool_tests;
+mod loan_tests;
+mod loans;
 mod refusal;
+mod resume;
 mod run_times;
 mod silence;
 #[cfg(test)]
@@ -29,13 +29,13 @@
 mod window;
 
 pub use attempts::{AttemptEnd, Attempts, NextStep};
-pub use budget::{BudgetShare, RepeatPurpose, RetryBudget};
+pub use budget::{BudgetShare, RetryBudget, RetryPurpose};
 pub use events::{EventSplitter, SplitError, WholeEvents};
-pub(crate) use go_on::Lack;
 pub use limits::{AttemptLimit, GivenUp};
-pub(crate) use pool::part_of_need;
-pub use pool::{Lender, RepeatAmount, RepeatLoan};
-pub use refusal::{FinalWord, Outlook, RefusalCause};
+pub(crate) use loans::share_of_need;
+pub use loans::{Lender, RetryAmount, RetryLoan};
+pub use refusal::{FinalError, RefusalCause, RetryConditions};
+pub(crate) use resume::Lack;
 pub use run_times::RunTimes;
-pub(crate) use silence::{ANSWER_LIMIT_MS, ASKED_AT_MS, AnswerBook, NoAnswer, PROMPT_MS};
+pub(crate) use silence::{ANSWER_LIMIT_MS, ASKED_AT_MS, NoAnswer, PROMPT_MS, ProbeHistory};
 pub use stall::{StallStep, StallWatch};
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -14,15 +14,15 @@
 
 /// What decides when a refused caller should come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Outlook {
+pub struct RetryConditions {
     /// Another instance serves everybody.
-    pub others_serve: bool,
+    pub other_instances_serve: bool,
     /// Time to load the layers that an engine of the service holds; 0 for a service without model.
     pub load_ms: u64,
     /// Time that a usual request takes, and after which its place is free.
     pub run_ms: u64,
     /// A number drawn evenly from all of `u64`.
-    pub draw: u64,
+    pub random: u64,
 }
 
 /// Why a request was refused before anything ran.
@@ -73,10 +73,10 @@
     /// When the caller should come back: as long as the cause lasts as a rule, and callers that are
     /// refused together not all at once. Callers try again once only, so that coming back too soon
     /// costs them the answer, and coming back late only time.
-    pub fn retry_after_ms(self, outlook: Outlook) -> u64 {
+    pub fn retry_after_ms(self, outlook: RetryConditions) -> u64 {
         let usual_ms = match self {
             Self::Stopping | Self::TooLate => ELSEWHERE_MS,
-            Self::NoTable | Self::OldTable if outlook.others_serve => ELSEWHERE_MS,
+            Self::NoTable | Self::OldTable if outlook.other_instances_serve => ELSEWHERE_MS,
             Self::NoTable | Self::OldTable | Self::NoEndpoint => AWAY_MS,
             Self::NoChain => ORDER_MS + outlook.load_ms,
             Self::Full | Self::NoBudget => outlook.run_ms / 2,
@@ -84,14 +84,14 @@
             // The next permit is one caller's; by then the places of others are free too.
             Self::RateLimited { wait_ms } => wait_ms.unwrap_or(0).max(outlook.run_ms / 2),
         };
-        let part = outlook.draw as f64 / u64::MAX as f64;
+        let part = outlook.random as f64 / u64::MAX as f64;
         (usual_ms as f64 * (1.0 + SPREAD * part)) as u64
     }
 }
 
 /// What the caller hears when there is no endpoint's answer to pass on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FinalWord {
+pub enum FinalError {
     /// The request has not run and never will: 503 with the time to come back.
     NotRun(RefusalCause),
     /// It may have run; its answer is lost: 502.
@@ -100,7 +100,7 @@
     TimedOut,
 }
 
-impl FinalWord {
+impl FinalError {
     /// HTTP status.
     pub fn status(self) -> u16 {
         match self {
--- a/src/relay/silence.rs
+++ b/src/relay/silence.rs
@@ -32,14 +32,14 @@
 
 /// Answers to the questions of this instance, to whichever engine.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct AnswerBook {
+pub(crate) struct ProbeHistory {
     /// When the newest question that was answered promptly was sent.
     prompt_sent_ms: Option<u64>,
     /// When the newest question was sent that a living engine did not answer in time.
     full_sent_ms: Option<u64>,
 }
 
-impl AnswerBook {
+impl ProbeHistory {
     /// Notes that a question that was sent at `sent_ms` has an answer.
     pub(crate) fn answered(&mut self, sent_ms: u64, now_ms: u64) {
         if now_ms <= sent_ms + PROMPT_MS {
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -50,7 +50,7 @@
                     break;
                 }
                 NextStep::GiveUp(end) => {
-                    prop_assert_eq!(matches!(end.word, FinalWord::NotRun(_)), !may_have_run);
+                    prop_assert_eq!(matches!(end.word, FinalError::NotRun(_)), !may_have_run);
                     break;
                 }
             }
@@ -104,7 +104,7 @@
             budget.request(&service, SHARE, number * 100);
         }
         taken += (0..1_000)
-            .filter(|_| budget.take(&service, SHARE, RepeatPurpose::Begin, 5_000))
+            .filter(|_| budget.take(&service, SHARE, RetryPurpose::Start, 5_000))
             .count();
     }
     // 0.2 of 100 requests and 20 besides.
@@ -116,9 +116,9 @@
 fn the_budget_fills_again_as_the_window_moves() {
     let service = ServiceName::from("ledger-api");
     let mut budget = RetryBudget::default();
-    while budget.take(&service, SHARE, RepeatPurpose::Begin, 1_000) {}
-    assert!(!budget.take(&service, SHARE, RepeatPurpose::Begin, 10_900));
-    assert!(budget.take(&service, SHARE, RepeatPurpose::Begin, 11_100));
+    while budget.take(&service, SHARE, RetryPurpose::Start, 1_000) {}
+    assert!(!budget.take(&service, SHARE, RetryPurpose::Start, 10_900));
+    assert!(budget.take(&service, SHARE, RetryPurpose::Start, 11_100));
 }
 
 // Callers' streams broke off in the middle with most of their time left. Their engine had ended; the
@@ -156,7 +156,7 @@
     attempts.answer_begins();
     let next = attempts.ended(AttemptEnd::Lost, || true);
     let end = GivenUp {
-        word: FinalWord::Unknown,
+        word: FinalError::Unknown,
         limit: AttemptLimit::MayHaveRun,
     };
     assert_eq!(next, NextStep::GiveUp(end));
@@ -168,7 +168,7 @@
     attempts.sending(&EndpointId::from("first"));
     let next = attempts.ended(AttemptEnd::TurnedAway, || false);
     let end = GivenUp {
-        word: FinalWord::NotRun(RefusalCause::NoBudget),
+        word: FinalError::NotRun(RefusalCause::NoBudget),
         limit: AttemptLimit::Budget,
     };
     assert_eq!(next, NextStep::GiveUp(end));
@@ -210,7 +210,7 @@
         }
     };
     let end = GivenUp {
-        word: FinalWord::Unknown,
+        word: FinalError::Unknown,
         limit: AttemptLimit::Sends,
     };
     assert_eq!((runs, last), (8, NextStep::GiveUp(end)));
@@ -238,14 +238,14 @@
     let service = ServiceName::from("ledger-api");
     let mut budget = RetryBudget::default();
     let mut next_ms = |now_ms| {
-        let purpose = RepeatPurpose::GoOn;
+        let purpose = RetryPurpose::Resume;
         while budget.take(&service, SHARE, purpose, now_ms) {}
-        budget.next_left_ms(&service, SHARE, purpose, now_ms)
+        budget.next_available_ms(&service, SHARE, purpose, now_ms)
     };
     let again_ms = next_ms(1_000);
     assert!((10_900..=11_100).contains(&again_ms), "{again_ms}");
     let mut budget = RetryBudget::default();
-    let now_ms = budget.next_left_ms(&service, SHARE, RepeatPurpose::GoOn, 5);
+    let now_ms = budget.next_available_ms(&service, SHARE, RetryPurpose::Resume, 5);
     assert_eq!(now_ms, 5);
 }
 
@@ -277,23 +277,23 @@
 
 #[test]
 fn refused_callers_come_back_when_the_cause_is_over_and_not_all_at_once() {
-    let outlook = Outlook {
-        others_serve: false,
+    let outlook = RetryConditions {
+        other_instances_serve: false,
         load_ms: 1_750,
         run_ms: 3_000,
-        draw: 0,
+        random: 0,
     };
     let after = |cause: RefusalCause, outlook| cause.retry_after_ms(outlook);
     assert_eq!(after(RefusalCause::NoChain, outlook), 2_650);
     assert_eq!(after(RefusalCause::Full, outlook), 1_500);
     assert_eq!(after(RefusalCause::OldTable, outlook), 1_000);
-    let elsewhere = Outlook {
-        others_serve: true,
+    let elsewhere = RetryConditions {
+        other_instances_serve: true,
         ..outlook
     };
     assert_eq!(after(RefusalCause::OldTable, elsewhere), 50);
-    let last = Outlook {
-        draw: u64::MAX,
+    let last = RetryConditions {
+        random: u64::MAX,
         ..outlook
     };
     assert_eq!(after(RefusalCause::Full, last), 1_950);
--- a/src/relay/unsent_tests.rs
+++ b/src/relay/unsent_tests.rs
@@ -51,10 +51,10 @@
         instances: 1,
     };
     let mut budget = RetryBudget::default();
-    assert!(budget.take(&service, share, RepeatPurpose::GoOn, 0));
-    assert!(!budget.take(&service, share, RepeatPurpose::GoOn, 1));
-    budget.cancel(&service);
-    assert!(budget.take(&service, share, RepeatPurpose::GoOn, 2));
+    assert!(budget.take(&service, share, RetryPurpose::Resume, 0));
+    assert!(!budget.take(&service, share, RetryPurpose::Resume, 1));
+    budget.refund(&service);
+    assert!(budget.take(&service, share, RetryPurpose::Resume, 2));
 }
 
 #[test]
--- a/src/relay/window.rs
+++ b/src/relay/window.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use super::budget::{BudgetShare, RepeatPurpose};
-use super::pool::{Borrowed, LOAN_LIFE_MS, Lender, Lent, REPEAT_MILLI};
+use super::budget::{BudgetShare, RetryPurpose};
+use super::loans::{Borrowed, LOAN_LIFE_MS, Lender, Lent, REPEAT_MILLI};
 
 /// Part of the allowance that is used. The rest covers requests that are counted in the window
 /// of another instance, and processes that start with an empty memory.
@@ -51,13 +51,13 @@
 #[derive(Clone, Copy, Debug)]
 struct AskedRepeat {
     at_ms: u64,
-    purpose: RepeatPurpose,
+    purpose: RetryPurpose,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct SentRepeat {
     at_ms: u64,
-    purpose: RepeatPurpose,
+    purpose: RetryPurpose,
     /// How much of it the own share bears.
     own_milli: u64,
 }
@@ -78,11 +78,11 @@
 }
 
 impl Remaining {
-    fn left_milli(self, purpose: RepeatPurpose) -> u64 {
+    fn left_milli(self, purpose: RetryPurpose) -> u64 {
         let left = self.own_milli + self.borrowed_milli;
         match purpose {
-            RepeatPurpose::GoOn => left + self.borrowed_to_go_on_milli,
-            RepeatPurpose::Begin => {
+            RetryPurpose::Resume => left + self.borrowed_to_go_on_milli,
+            RetryPurpose::Start => {
                 let all = (self.sent_milli + left) as f64;
                 let to_begin = (all * (1.0 - GO_ON_PART)) as u64;
                 left.min(to_begin.saturating_sub(self.begun_milli))
@@ -104,7 +104,7 @@
         self.requests_ms.push_back(now_ms);
     }
 
-    pub(super) fn asked(&mut self, purpose: RepeatPurpose, now_ms: u64) {
+    pub(super) fn asked(&mut self, purpose: RetryPurpose, now_ms: u64) {
         let at_ms = now_ms;
         self.asked.push_back(AskedRepeat { at_ms, purpose });
     }
@@ -118,7 +118,7 @@
         self.lent.forget_ended(now_ms);
     }
 
-    pub(super) fn has_left(&self, share: BudgetShare, purpose: RepeatPurpose, at_ms: u64) -> bool {
+    pub(super) fn has_left(&self, share: BudgetShare, purpose: RetryPurpose, at_ms: u64) -> bool {
         self.remaining(share, at_ms).left_milli(purpose) >= REPEAT_MILLI
     }
 
@@ -126,14 +126,14 @@
     pub(super) fn left_repeats(&self, share: BudgetShare, now_ms: u64) -> u32 {
         let milli = self
             .remaining(share, now_ms)
-            .left_milli(RepeatPurpose::Begin);
+            .left_milli(RetryPurpose::Start);
         u32::try_from(milli / REPEAT_MILLI).unwrap_or(u32::MAX)
     }
 
     /// Counts a repeat; loans are used first, since they end.
-    pub(super) fn repeat(&mut self, purpose: RepeatPurpose, now_ms: u64) {
+    pub(super) fn repeat(&mut self, purpose: RetryPurpose, now_ms: u64) {
         let mut own_milli = REPEAT_MILLI;
-        if purpose == RepeatPurpose::GoOn {
+        if purpose == RetryPurpose::Resume {
             own_milli -= self.borrowed_to_go_on.use_up(own_milli, now_ms);
         }
         own_milli -= self.borrowed.use_up(own_milli, now_ms);
@@ -151,12 +151,7 @@
     }
 
     /// What is missing of what the demand calls for.
-    pub(super) fn need_milli(
-        &self,
-        share: BudgetShare,
-        purpose: RepeatPurpose,
-        now_ms: u64,
-    ) -> u64 {
+    pub(super) fn need_milli(&self, share: BudgetShare, purpose: RetryPurpose, now_ms: u64) -> u64 {
         let is_asked = |it: &&AskedRepeat| it.purpose == purpose && now_ms <= it.at_ms + DEMAND_MS;
         let asked = self.asked.iter().filter(is_asked).count() as u64;
         let left = self.remaining(share, now_ms).left_milli(purpose);
@@ -168,17 +163,17 @@
     pub(super) fn spare_milli(
         &self,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> u64 {
         let lacks = |purpose| self.need_milli(share, purpose, now_ms) > 0;
-        let lacks_more_urgent = purpose == RepeatPurpose::Begin && lacks(RepeatPurpose::GoOn);
+        let lacks_more_urgent = purpose == RetryPurpose::Start && lacks(RetryPurpose::Resume);
         if self.is_starting(now_ms) || lacks(purpose) || lacks_more_urgent {
             return 0;
         }
         let kept_part = match purpose {
-            RepeatPurpose::Begin => KEPT_PART,
-            RepeatPurpose::GoOn => KEPT_TO_GO_ON_PART,
+            RetryPurpose::Start => KEPT_PART,
+            RetryPurpose::Resume => KEPT_TO_GO_ON_PART,
         };
         let kept = (self.allowed_milli(share, now_ms) as f64 * kept_part).ceil() as u64;
         let left = self.remaining(share, now_ms).own_milli;
@@ -203,7 +198,7 @@
         lender: &Lender,
         id: u32,
         milli: u64,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         asked_ms: u64,
     ) {
         let until_ms = asked_ms + LOAN_LIFE_MS;
@@ -213,16 +208,16 @@
     /// Loans for a purpose that have ended unused, with what is left of them.
     pub(super) fn give_back(
         &mut self,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> impl Iterator<Item = (Lender, u32, u64)> {
         self.borrowed_for(purpose).take_ended(now_ms)
     }
 
-    fn borrowed_for(&mut self, purpose: RepeatPurpose) -> &mut Borrowed {
+    fn borrowed_for(&mut self, purpose: RetryPurpose) -> &mut Borrowed {
         match purpose {
-            RepeatPurpose::Begin => &mut self.borrowed,
-            RepeatPurpose::GoOn => &mut self.borrowed_to_go_on,
+            RetryPurpose::Start => &mut self.borrowed,
+            RetryPurpose::Resume => &mut self.borrowed_to_go_on,
         }
     }
 
@@ -230,7 +225,7 @@
     pub(super) fn next_left_ms(
         &self,
         share: BudgetShare,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> Option<u64> {
         let repeats = self.repeats.iter().map(|it| it.at_ms + share.window_ms + 1);
@@ -249,7 +244,7 @@
         let from_ms = at_ms.saturating_sub(share.window_ms);
         let first = self.repeats.partition_point(|it| it.at_ms < from_ms);
         let sent = self.repeats.range(first..);
-        let begun = sent.clone().filter(|it| it.purpose == RepeatPurpose::Begin);
+        let begun = sent.clone().filter(|it| it.purpose == RetryPurpose::Start);
         let own_used: u64 = sent.clone().map(|it| it.own_milli).sum();
         let charged = own_used + self.lent.sum_milli(at_ms);
         Remaining {
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -9,7 +9,7 @@
 
 use super::adapter::{Adapter, EngineReport};
 use super::node::Node;
-use super::questions::{Finding, ask, ask_beside_control};
+use super::probes::{Finding, ask, ask_beside_control};
 use crate::clock::boot_ms;
 use crate::fleet::{Chain, ChainStage, KnownEndpoint, Trouble};
 use crate::ids::EndpointId;
@@ -20,7 +20,7 @@
 
 /// What the newest checks have shown.
 #[derive(Debug, Default)]
-pub(crate) struct CheckBook {
+pub(crate) struct CheckCache {
     /// When each check under way began; one whose stream went away never says how it ended.
     begun_at_ms: IndexMap<EndpointId, u64>,
     sound: IndexMap<EndpointId, SoundReport>,
@@ -34,7 +34,7 @@
     stalled: Vec<(String, SocketAddr)>,
 }
 
-impl CheckBook {
+impl CheckCache {
     fn is_due(&self, id: &EndpointId, now_ms: u64) -> bool {
         let is_fresh = self
             .sound
@@ -66,24 +66,24 @@
 
 /// Which lifetime of an engine's process a report is of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Lifetime {
+pub(super) enum AnsweringLifetime {
     /// The one that was asked for, as far as the report says.
-    Known,
+    Current,
     /// One that has begun since: the one that was asked for has ended.
-    Later,
+    Newer,
     /// One that ended before: its word says nothing.
-    Earlier,
+    Older,
 }
 
 /// Compares the lifetime that was asked for with the one that has answered.
-pub(super) fn answering_lifetime(asked: &EndpointId, report: &EngineReport) -> Lifetime {
+pub(super) fn answering_lifetime(asked: &EndpointId, report: &EngineReport) -> AnsweringLifetime {
     let (Some(asked_ms), Some(born_ms)) = (asked.born_unix_ms(), report.born_unix_ms) else {
-        return Lifetime::Known;
+        return AnsweringLifetime::Current;
     };
     match born_ms.cmp(&asked_ms) {
-        Ordering::Equal => Lifetime::Known,
-        Ordering::Greater => Lifetime::Later,
-        Ordering::Less => Lifetime::Earlier,
+        Ordering::Equal => AnsweringLifetime::Current,
+        Ordering::Greater => AnsweringLifetime::Newer,
+        Ordering::Less => AnsweringLifetime::Older,
     }
 }
 
@@ -115,7 +115,7 @@
 }
 
 /// Checks one stage beside whatever else goes on.
-pub(crate) fn check_beside<A>(node: &Rc<Node<A>>, stage: &ChainStage)
+pub(crate) fn check_in_background<A>(node: &Rc<Node<A>>, stage: &ChainStage)
 where
     A: Adapter,
 {
@@ -210,13 +210,13 @@
         Finding::Nothing => return,
     };
     match answering_lifetime(id, &report) {
-        Lifetime::Known if !report.is_fresh => {}
-        Lifetime::Known | Lifetime::Later => {
+        AnsweringLifetime::Current if !report.is_fresh => {}
+        AnsweringLifetime::Current | AnsweringLifetime::Newer => {
             log::warn!(endpoint = id.as_str(), born_unix_ms = report.born_unix_ms; "engine has started anew");
             node.troubled(id, Trouble::Ended);
             return;
         }
-        Lifetime::Earlier => return,
+        AnsweringLifetime::Older => return,
     }
     if let Some(known) = node.fleet.borrow_mut().get_mut(id) {
         // Newer than the list, which shows layers with a lag. An engine that is being moved still
@@ -283,7 +283,9 @@
             ) => {
                 known.standing.pause(boot_ms());
             }
-            Some(Finding::Sound(report)) if answering_lifetime(&id, &report) != Lifetime::Known => {
+            Some(Finding::Sound(report))
+                if answering_lifetime(&id, &report) != AnsweringLifetime::Current =>
+            {
                 known.standing.pause(boot_ms());
             }
             Some(Finding::Sound(report)) => {
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -9,7 +9,7 @@
 use tokio::time::sleep;
 
 use super::adapter::{Adapter, EngineControl, OrderFailure};
-use super::checks::{Lifetime, answering_lifetime};
+use super::checks::{AnsweringLifetime, answering_lifetime};
 use super::node::Node;
 use super::peer_book::HolderEnd;
 use crate::clients::call_table;
@@ -275,7 +275,7 @@
 {
     let engines = node.adapter.engines();
     let report = engines.report(address, REPORT_TIMEOUT_MS).await?;
-    if answering_lifetime(endpoint, &report) != Lifetime::Known {
+    if answering_lifetime(endpoint, &report) != AnsweringLifetime::Current {
         log::info!(
             endpoint = endpoint.as_str(),
             born_unix_ms = report.born_unix_ms;
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -16,11 +16,11 @@
 use super::headers;
 use super::node::Node;
 use super::plain::relay_plain;
-use super::request::{RelayedRequest, status_response, word_response};
-use super::stream_answer::relay_stream;
+use super::request::{RelayedRequest, error_response, status_response};
+use super::stream_response::relay_stream;
 use crate::clock::boot_ms;
 use crate::quarantine::{Doubt, RequestParts};
-use crate::relay::{AttemptLimit, FinalWord, RefusalCause};
+use crate::relay::{AttemptLimit, FinalError, RefusalCause};
 use crate::route_table::{Rejection, Route, RouteTable};
 
 /// Longest wait for a whole body. Callers send bodies of a few kilobytes at once.
@@ -235,7 +235,7 @@
         body: Bytes::new(),
         digest: None,
         arrived_ms: now_ms,
-        final_ms: now_ms + patience_ms.min(route.timeout_ms),
+        deadline_ms: now_ms + patience_ms.min(route.timeout_ms),
         route,
         ask,
     })
@@ -310,7 +310,7 @@
         "request is refused"
     );
     drop(table);
-    word_response(node, FinalWord::NotRun(cause), outlook)
+    error_response(node, FinalError::NotRun(cause), outlook)
 }
 
 async fn read_body(
--- a/src/relay_server/handing_on_tests/world.rs
+++ b/src/relay_server/handing_on_tests/world.rs
@@ -8,10 +8,10 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use super::super::asking::{Asking, Begun, Knowledge, Next};
 use super::super::list_log::ListMark;
 use super::super::peer::Informant;
 use super::super::peer_book::HEARTBEAT_MS;
+use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
 use super::super::reading::FIRST_OF_ZONE;
 use super::super::snapshot::{FETCH_TIMEOUT_MS, Known, LOOK_MS};
 use super::super::uplink::{Admission, Uplink};
@@ -60,7 +60,7 @@
     /// What is heard of the others: their version and when.
     heard: Vec<(u64, u64)>,
     far_turn: usize,
-    asking: Asking,
+    asking: PeerSelector,
     call: Option<(u64, usize)>,
     part: Held,
     uplink: Uplink,
@@ -123,7 +123,7 @@
                     table: 1,
                     heard: vec![(1, 0); count],
                     far_turn: rng.random_range(0..count),
-                    asking: Asking::default(),
+                    asking: PeerSelector::default(),
                     call: None,
                     part: Held::default(),
                     uplink: Uplink::new(link_mbps),
@@ -359,24 +359,24 @@
             table: own.table,
             list: 0,
         };
-        let knowledge = Knowledge {
-            behind_since_ms: own.asking.note_behind(&informants, known, now_ms),
+        let knowledge = SyncState {
+            behind_since_ms: own.asking.update_lag(&informants, known, now_ms),
             reads_store: own.reads_store(),
             is_fed: true,
             list_age_ms: 0,
         };
         let part_of = Some(own.part.version).filter(|it| *it > 0);
-        let begun = Begun {
+        let begun = PartialFetches {
             document: part_of,
-            list_giver: None,
+            list_provider: None,
         };
         let next = own
             .asking
             .next(&informants, knowledge, known, begun, draw, now_ms);
         match next {
-            Next::Nothing => {}
-            Next::Wait { wait_ms } => self.push(index, wait_ms * 1_000, Event::LookAgain),
-            Next::Ask(question) => self.ask(index, &question.peer),
+            FetchDecision::Idle => {}
+            FetchDecision::Wait { wait_ms } => self.push(index, wait_ms * 1_000, Event::LookAgain),
+            FetchDecision::Fetch(question) => self.ask(index, &question.peer),
         }
     }
 
@@ -457,7 +457,9 @@
         let own = &mut self.instances[index];
         if let Some((_, peer)) = own.call.take_if(|it| it.0 == call) {
             let name = self.instances[peer].name.clone();
-            self.instances[index].asking.busy(&name, wait_ms, now_ms);
+            self.instances[index]
+                .asking
+                .mark_document_busy(&name, wait_ms, now_ms);
             self.look(index);
         }
     }
@@ -467,7 +469,7 @@
         let own = &mut self.instances[index];
         if let Some((_, peer)) = own.call.take() {
             let name = self.instances[peer].name.clone();
-            self.instances[index].asking.failed(&name, now_ms);
+            self.instances[index].asking.mark_failed(&name, now_ms);
             self.look(index);
         }
     }
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{EngineLoad, ToldLimit};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::quarantine::ToldEvidence;
-use crate::relay::{RepeatAmount, RepeatLoan};
+use crate::relay::{RetryAmount, RetryLoan};
 use crate::wire::engine::LayerRange;
 
 /// What an instance tells the others of itself and of the endpoints.
@@ -56,7 +56,7 @@
     /// Instances that the sender knows of, itself included.
     pub(super) known_instances: u32,
     /// Repeats that the sender lacks; told to its own zone.
-    pub(super) repeat_needs: Vec<RepeatAmount>,
+    pub(super) repeat_needs: Vec<RetryAmount>,
     /// What is known of requests under which endpoints have ended.
     pub(super) evidence: ToldEvidence,
     /// Limits that endpoints have named to the sender.
@@ -77,9 +77,9 @@
 pub(crate) struct PeerPart {
     pub(super) echo: Option<Echo>,
     /// Repeats lent for the needs in the heartbeat that `echo` names.
-    pub(super) lent: Vec<RepeatLoan>,
+    pub(super) lent: Vec<RetryLoan>,
     /// What the sender has not used of the recipient's loans.
-    pub(super) given_back: Vec<RepeatLoan>,
+    pub(super) given_back: Vec<RetryLoan>,
 }
 
 /// Whether callers should come to an instance.
@@ -125,7 +125,7 @@
     /// What this instance's streams hold.
     pub(crate) held: Vec<HeldLoad>,
     /// Repeats that are missing here.
-    pub(crate) repeat_needs: Vec<RepeatAmount>,
+    pub(crate) repeat_needs: Vec<RetryAmount>,
     /// What others should know of requests under which endpoints have ended.
     pub(crate) evidence: ToldEvidence,
     /// Limits that endpoints have named to this instance.
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::asking_tests::{informant, with_list_news};
 use super::list_log::{ListMark, ListNews};
 use super::list_parts::{ListParts, ListQuery, ListRest};
+use super::peer_selection_tests::{informant, with_newer_list};
 use super::snapshot::Known;
 use crate::fleet::{ListedEndpoint, Phase};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
@@ -109,7 +109,7 @@
 // being asked for the list for ever.
 #[test]
 fn the_list_is_asked_for_elsewhere_once_its_giver_is_not_heard_any_more() {
-    let both = [1, 2].map(|port| with_list_news(informant(port, 1, true, true)));
+    let both = [1, 2].map(|port| with_newer_list(informant(port, 1, true, true)));
     let [giver, other] = &both;
     let mut parts = ListParts::default();
     let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -6,13 +6,13 @@
 use rand::rngs::SmallRng;
 
 use super::super::adapter::FeedRead;
-use super::super::asking::{Asking, Begun, Knowledge, Next};
 use super::super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::super::list_log::ListLog;
 use super::super::list_sync::{self, ListUpdate};
 use super::super::pacing::share_limits;
 use super::super::peer::{Informant, InstanceRecord, Recipient};
 use super::super::peer_book::PeerBook;
+use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
 use super::super::settings::RelaySettings;
 use super::super::snapshot::Known;
 use super::super::store_contact::StoreContact;
@@ -50,7 +50,7 @@
     pub(super) position: Option<u64>,
     pub(super) is_asking: bool,
     pub(super) is_notified: bool,
-    pub(super) asking: Asking,
+    pub(super) asking: PeerSelector,
     pub(super) quarantine: Quarantine,
     /// Until when no heartbeat reaches it or leaves it.
     pub(super) cut_until_ms: u64,
@@ -91,7 +91,7 @@
             position: None,
             is_asking: false,
             is_notified: false,
-            asking: Asking::default(),
+            asking: PeerSelector::default(),
             quarantine: Quarantine::default(),
             cut_until_ms: 0,
         }
@@ -111,7 +111,7 @@
         self.position = None;
         self.is_asking = false;
         self.is_notified = false;
-        self.asking = Asking::default();
+        self.asking = PeerSelector::default();
         self.quarantine = Quarantine::default();
         self.process = Process::Runs { since_ms: now_ms };
     }
@@ -261,8 +261,8 @@
     pub(super) fn whom_to_ask(&mut self, draw: u64, now_ms: u64) -> Option<Informant> {
         let informants = self.book.informants(now_ms);
         let known = self.known();
-        let knowledge = Knowledge {
-            behind_since_ms: self.asking.note_behind(&informants, known, now_ms),
+        let knowledge = SyncState {
+            behind_since_ms: self.asking.update_lag(&informants, known, now_ms),
             reads_store: self.reads,
             is_fed: self.is_fed(now_ms),
             list_age_ms: self.fleet.age_ms(now_ms),
@@ -271,13 +271,13 @@
             &informants,
             knowledge,
             known,
-            Begun::default(),
+            PartialFetches::default(),
             draw,
             now_ms,
         );
         match next {
-            Next::Ask(question) => Some(question.peer),
-            Next::Nothing | Next::Wait { .. } => None,
+            FetchDecision::Fetch(question) => Some(question.peer),
+            FetchDecision::Idle | FetchDecision::Wait { .. } => None,
         }
     }
 
--- a/src/relay_server/list_spread_tests/world.rs
+++ b/src/relay_server/list_spread_tests/world.rs
@@ -290,7 +290,7 @@
             Event::Look => self.look(index),
             Event::Unanswered(peer) => {
                 let own = &mut self.instances[index];
-                own.asking.failed(&peer, now_ms);
+                own.asking.mark_failed(&peer, now_ms);
                 own.is_asking = false;
                 self.look(index);
             }
--- a/src/relay_server/mod.rs
+++ b/src/relay_server/mod.rs
@@ -4,9 +4,6 @@
 //! What a platform says on the wire is an [`Adapter`]'s; nothing here depends on one.
 
 mod adapter;
-mod asking;
-#[cfg(test)]
-mod asking_tests;
 mod checks;
 mod document_parts;
 #[cfg(test)]
@@ -39,11 +36,14 @@
 mod peer_book_tests;
 #[cfg(test)]
 mod peer_news_tests;
+mod peer_selection;
+#[cfg(test)]
+mod peer_selection_tests;
 mod peers;
 mod plain;
+mod probes;
 mod quarantine_rows;
 mod query;
-mod questions;
 mod reading;
 #[cfg(test)]
 mod reading_tests;
@@ -58,7 +58,7 @@
 #[cfg(test)]
 mod room_notice_tests;
 mod run;
-mod send_view;
+mod send_context;
 mod senders;
 #[cfg(test)]
 mod senders_tests;
@@ -67,7 +67,7 @@
 mod start_wait;
 mod store_contact;
 mod stream;
-mod stream_answer;
+mod stream_response;
 #[cfg(test)]
 mod test_settings;
 #[cfg(test)]
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -7,7 +7,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::adapter::Adapter;
-use super::checks::CheckBook;
+use super::checks::CheckCache;
 use super::fleet_lines::log_changes;
 use super::heartbeat::Availability;
 use super::list_log::ListLog;
@@ -15,14 +15,14 @@
 use super::settings::RelaySettings;
 use super::store_contact::StoreContact;
 use super::uplink::Uplink;
-use super::upstream::Upstreams;
+use super::upstream::UpstreamPool;
 use crate::clock::boot_ms;
 use crate::fleet::{Chain, ChainStage, Fleet, FleetChange, Phase, Trouble};
 use crate::ids::{EndpointId, Incarnation, ServiceName};
 use crate::placement::PlaceOrder;
 use crate::quarantine::{DigestKey, Quarantine, RequestDigest, RequestParts};
 use crate::relay::{
-    AnswerBook, AttemptLimit, BudgetShare, Outlook, RepeatPurpose, RetryBudget, RunTimes,
+    AttemptLimit, BudgetShare, ProbeHistory, RetryBudget, RetryConditions, RetryPurpose, RunTimes,
 };
 use crate::route_table::{HeldTable, RouteTable};
 use crate::telemetry::Counters;
@@ -38,10 +38,10 @@
     pub(crate) budget: RefCell<RetryBudget>,
     /// How long streams take.
     pub(crate) run_times: RefCell<RunTimes>,
-    pub(crate) upstreams: Upstreams,
-    pub(crate) checks: RefCell<CheckBook>,
+    pub(crate) upstreams: UpstreamPool,
+    pub(crate) checks: RefCell<CheckCache>,
     /// Answers of engines to questions of this instance, to tell a full link from a dead engine.
-    pub(crate) prompt_answers: RefCell<AnswerBook>,
+    pub(crate) prompt_answers: RefCell<ProbeHistory>,
     pub(crate) peers: RefCell<PeerBook>,
     /// Orders that peers gave to engines, not yet taken up by the duty of this instance.
     pub(crate) orders_heard: RefCell<Vec<PlaceOrder>>,
@@ -96,7 +96,7 @@
             fleet: RefCell::default(),
             budget: RefCell::new(RetryBudget::starting(boot_ms())),
             run_times: RefCell::default(),
-            upstreams: Upstreams::new(),
+            upstreams: UpstreamPool::new(),
             checks: RefCell::default(),
             prompt_answers: RefCell::default(),
             orders_heard: RefCell::default(),
@@ -203,7 +203,7 @@
     }
 
     /// Takes one repeat out of the budget, if one is left.
-    pub(crate) fn take_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
+    pub(crate) fn take_repeat(&self, service: &ServiceName, purpose: RetryPurpose) -> bool {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         let is_left = budget.take(service, share, purpose, boot_ms());
@@ -218,11 +218,11 @@
     /// Puts a repeat back of which nothing arrived anywhere.
     pub(crate) fn cancel_repeat(&self, service: &ServiceName) {
         self.counters.count("relay.repeats.cancelled");
-        self.budget.borrow_mut().cancel(service);
+        self.budget.borrow_mut().refund(service);
     }
 
     /// Whether one more repeat is within the budget.
-    pub(crate) fn has_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
+    pub(crate) fn has_repeat(&self, service: &ServiceName, purpose: RetryPurpose) -> bool {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         budget.has_left(service, share, purpose, boot_ms())
@@ -232,7 +232,7 @@
     pub(crate) fn repeats_left(&self, service: &ServiceName) -> u32 {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
-        budget.left(service, share, boot_ms())
+        budget.remaining(service, share, boot_ms())
     }
 
     /// Counts a request that ended at a limit.
@@ -246,29 +246,29 @@
     pub(crate) fn next_repeat_ms(
         &self,
         service: &ServiceName,
-        purpose: RepeatPurpose,
+        purpose: RetryPurpose,
         now_ms: u64,
     ) -> u64 {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
-        budget.next_left_ms(service, share, purpose, now_ms)
+        budget.next_available_ms(service, share, purpose, now_ms)
     }
 
     /// Notes that a repeat is waited for, so that one is asked for of other instances.
-    pub(crate) fn await_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) {
+    pub(crate) fn await_repeat(&self, service: &ServiceName, purpose: RetryPurpose) {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
-        budget.await_one(service, share, purpose, boot_ms());
+        budget.note_demand(service, share, purpose, boot_ms());
         self.counters.count("relay.repeats.awaited");
     }
 
     /// What decides when a refused request should be asked for again.
-    pub(crate) fn outlook(&self, load_ms: u64, run_ms: u64) -> Outlook {
-        Outlook {
-            others_serve: self.peers.borrow().others_serve(boot_ms()),
+    pub(crate) fn outlook(&self, load_ms: u64, run_ms: u64) -> RetryConditions {
+        RetryConditions {
+            other_instances_serve: self.peers.borrow().others_serve(boot_ms()),
             load_ms,
             run_ms,
-            draw: self.draw(),
+            random: self.draw(),
         }
     }
 
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -78,7 +78,7 @@
     }
 
     /// Sends a request with a permit of its endpoint, where one is needed, if `may_send` holds once there
-    /// is a connection. Errors are those of [`Upstreams::send`](super::upstream::Upstreams::send).
+    /// is a connection. Errors are those of [`UpstreamPool::send`](super::upstream::UpstreamPool::send).
     pub(super) async fn send_with_permit<F>(
         &self,
         endpoint: &EndpointId,
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -11,7 +11,7 @@
 use super::snapshot::Known;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
-use crate::relay::RepeatAmount;
+use crate::relay::RetryAmount;
 
 /// Silence after which a peer is not named to callers any more: two heartbeats may be lost.
 const SILENT_MS: u64 = 800;
@@ -60,7 +60,7 @@
     /// Instances that it knows of.
     pub(super) known_instances: u32,
     /// Repeats that it lacks, until they were answered.
-    pub(super) repeat_needs: Vec<RepeatAmount>,
+    pub(super) repeat_needs: Vec<RetryAmount>,
     pub(super) held: Vec<(EndpointId, EngineLoad)>,
     /// Whether `held` is in the sums that were handed out last.
     pub(super) is_counted: bool,
--- a/src/relay_server/asking.rs
+++ b/src/relay_server/peer_selection.rs
@@ -23,7 +23,7 @@
 
 /// How fresh an instance's own knowledge is.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Knowledge {
+pub(super) struct SyncState {
     /// Since when a peer has had a newer table.
     pub(super) behind_since_ms: Option<u64>,
     /// Whether the store is read here: its answers bring what peers know as soon as theirs do.
@@ -34,10 +34,10 @@
     pub(super) list_age_ms: u64,
 }
 
-impl Knowledge {
+impl SyncState {
     /// Whether a peer is to be asked. A list that is old though the store answers has not changed: it
     /// reaches 3.65 s whenever two watches in a row end in vain.
-    pub(super) fn is_wanting(self, now_ms: u64) -> bool {
+    pub(super) fn needs_fetch(self, now_ms: u64) -> bool {
         let patience_ms = if self.reads_store { BEHIND_MS } else { 0 };
         let is_behind = self
             .behind_since_ms
@@ -52,21 +52,21 @@
 
 /// What is to be done next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Next {
+pub(super) enum FetchDecision {
     /// Nothing until the next look.
-    Nothing,
+    Idle,
     /// Nothing until then, unless something new is heard.
     Wait {
         /// Time until then.
         wait_ms: u64,
     },
     /// This peer is asked.
-    Ask(Question),
+    Fetch(FetchRequest),
 }
 
 /// Whom to ask, and for what.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Question {
+pub(super) struct FetchRequest {
     pub(super) peer: Informant,
     /// Whether the document is asked for, beside the list of endpoints.
     pub(super) wants_document: bool,
@@ -78,7 +78,7 @@
 /// rounds and the way between zones carries it once a reader. The list of endpoints is short and urgent,
 /// and never waits for a document.
 #[derive(Debug, Default)]
-pub(super) struct Asking {
+pub(super) struct PeerSelector {
     /// Those that gave nothing, and until when they are left alone.
     failed: IndexMap<InstanceId, u64>,
     /// Those that had no room for a document, and until when.
@@ -91,9 +91,9 @@
     lacks_document_since_ms: Option<u64>,
 }
 
-impl Asking {
+impl PeerSelector {
     /// Notes whether a peer knows more. Returns since when.
-    pub(super) fn note_behind(
+    pub(super) fn update_lag(
         &mut self,
         informants: &[Informant],
         known: Known,
@@ -113,56 +113,56 @@
     pub(super) fn next(
         &mut self,
         informants: &[Informant],
-        knowledge: Knowledge,
+        knowledge: SyncState,
         known: Known,
-        begun: Begun<'_>,
+        begun: PartialFetches<'_>,
         draw: u64,
         now_ms: u64,
-    ) -> Next {
+    ) -> FetchDecision {
         self.failed.retain(|_, until_ms| now_ms < *until_ms);
         self.busy.retain(|_, until_ms| now_ms < *until_ms);
         self.list_busy.retain(|_, until_ms| now_ms < *until_ms);
-        if !knowledge.is_wanting(now_ms) {
-            return Next::Nothing;
+        if !knowledge.needs_fetch(now_ms) {
+            return FetchDecision::Idle;
         }
         let may_ask_far = self
             .lacks_document_since_ms
             .is_some_and(|since_ms| now_ms >= since_ms + FAR_PATIENCE_MS);
         let source = self.source(informants, known, begun.document, may_ask_far, draw);
         if let Source::At(peer) = source {
-            return Next::Ask(Question {
+            return FetchDecision::Fetch(FetchRequest {
                 peer: peer.clone(),
                 wants_document: true,
             });
         }
-        let lister = self.lister(informants, knowledge, known, begun.list_giver, draw);
+        let lister = self.lister(informants, knowledge, known, begun.list_provider, draw);
         if let Source::At(peer) = lister {
-            return Next::Ask(Question {
+            return FetchDecision::Fetch(FetchRequest {
                 peer: peer.clone(),
                 wants_document: false,
             });
         }
         let room_ms = [source.room_ms(), lister.room_ms()];
         match room_ms.into_iter().flatten().min() {
-            Some(at_ms) => Next::Wait {
+            Some(at_ms) => FetchDecision::Wait {
                 wait_ms: at_ms.saturating_sub(now_ms).max(1),
             },
-            None => Next::Nothing,
+            None => FetchDecision::Idle,
         }
     }
 
     /// Notes that a peer gave nothing.
-    pub(super) fn failed(&mut self, peer: &InstanceId, now_ms: u64) {
+    pub(super) fn mark_failed(&mut self, peer: &InstanceId, now_ms: u64) {
         self.failed.insert(peer.clone(), now_ms + FAILED_MS);
     }
 
     /// Notes that a peer has no room for a document for so long.
-    pub(super) fn busy(&mut self, peer: &InstanceId, wait_ms: u64, now_ms: u64) {
+    pub(super) fn mark_document_busy(&mut self, peer: &InstanceId, wait_ms: u64, now_ms: u64) {
         self.busy.insert(peer.clone(), now_ms + wait_ms);
     }
 
     /// Notes that a peer has no room for the whole list of endpoints for so long.
-    pub(super) fn list_busy(&mut self, peer: &InstanceId, wait_ms: u64, now_ms: u64) {
+    pub(super) fn mark_list_busy(&mut self, peer: &InstanceId, wait_ms: u64, now_ms: u64) {
         self.list_busy.insert(peer.clone(), now_ms + wait_ms);
     }
 
@@ -202,7 +202,7 @@
     fn lister<'a>(
         &self,
         informants: &'a [Informant],
-        knowledge: Knowledge,
+        knowledge: SyncState,
         known: Known,
         giver: Option<&InstanceId>,
         draw: u64,
@@ -246,11 +246,11 @@
 
 /// What of the two is here in part.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Begun<'a> {
+pub(super) struct PartialFetches<'a> {
     /// Version of the document of which parts are here.
     pub(super) document: Option<u64>,
     /// Who has given parts of the list of endpoints and has the rest.
-    pub(super) list_giver: Option<&'a InstanceId>,
+    pub(super) list_provider: Option<&'a InstanceId>,
 }
 
 /// Where a document, or the list, is to be had.
--- a/src/relay_server/asking_tests.rs
+++ b/src/relay_server/peer_selection_tests.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use super::asking::{Asking, Begun, Knowledge, Next, Question};
 use super::list_log::ListMark;
 use super::peer::Informant;
+use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
 use super::snapshot::Known;
 use crate::ids::InstanceId;
 
@@ -23,7 +23,7 @@
     }
 }
 
-pub(super) fn with_list_news(mut informant: Informant) -> Informant {
+pub(super) fn with_newer_list(mut informant: Informant) -> Informant {
     informant.list = ListMark {
         position: 9,
         changed: 9,
@@ -31,8 +31,8 @@
     informant
 }
 
-fn knowledge(behind_since_ms: Option<u64>) -> Knowledge {
-    Knowledge {
+fn knowledge(behind_since_ms: Option<u64>) -> SyncState {
+    SyncState {
         behind_since_ms,
         reads_store: false,
         is_fed: true,
@@ -41,24 +41,24 @@
 }
 
 fn next(
-    asking: &mut Asking,
+    asking: &mut PeerSelector,
     informants: &[Informant],
     part_of: Option<u64>,
     draw: u64,
     now_ms: u64,
-) -> Next {
-    let behind_since_ms = asking.note_behind(informants, KNOWN, now_ms);
+) -> FetchDecision {
+    let behind_since_ms = asking.update_lag(informants, KNOWN, now_ms);
     let knowledge = knowledge(behind_since_ms);
-    let begun = Begun {
+    let begun = PartialFetches {
         document: part_of,
-        list_giver: None,
+        list_provider: None,
     };
     asking.next(informants, knowledge, KNOWN, begun, draw, now_ms)
 }
 
-fn port(next: &Next) -> Option<(u16, bool)> {
+fn port(next: &FetchDecision) -> Option<(u16, bool)> {
     match next {
-        Next::Ask(Question {
+        FetchDecision::Fetch(FetchRequest {
             peer,
             wants_document,
         }) => Some((peer.address.port(), *wants_document)),
@@ -79,15 +79,21 @@
 #[test]
 fn the_nearest_of_those_that_know_more_are_asked_and_not_always_the_same() {
     let first = |draw| {
-        let next = next(&mut Asking::default(), &everybody(), None, draw, NOW_MS);
+        let next = next(
+            &mut PeerSelector::default(),
+            &everybody(),
+            None,
+            draw,
+            NOW_MS,
+        );
         port(&next).map(|it| it.0)
     };
     assert_eq!(
         [first(0), first(20), first(40), first(60)],
         [Some(3), Some(4), Some(5), Some(3)]
     );
-    let nobody = next(&mut Asking::default(), &[], None, 1, NOW_MS);
-    assert_eq!(nobody, Next::Nothing);
+    let nobody = next(&mut PeerSelector::default(), &[], None, 1, NOW_MS);
+    assert_eq!(nobody, FetchDecision::Idle);
 }
 
 #[test]
@@ -95,7 +101,7 @@
     let mut fast = informant(1, 6, true, true);
     fast.link_mbps = 200;
     let all = [fast, informant(2, 6, true, true)];
-    let asked = (0..220).map(|draw| next(&mut Asking::default(), &all, None, draw, NOW_MS));
+    let asked = (0..220).map(|draw| next(&mut PeerSelector::default(), &all, None, draw, NOW_MS));
     let fast = asked.filter(|it| port(it) == Some((1, true))).count();
     assert_eq!(fast, 200);
 }
@@ -103,19 +109,28 @@
 #[test]
 fn a_document_is_gone_on_with_where_it_was_begun() {
     for draw in 0..60 {
-        let next = next(&mut Asking::default(), &everybody(), Some(7), draw, NOW_MS);
+        let next = next(
+            &mut PeerSelector::default(),
+            &everybody(),
+            Some(7),
+            draw,
+            NOW_MS,
+        );
         assert_eq!(port(&next), Some((5, true)));
     }
 }
 
 #[test]
 fn another_zone_is_asked_for_a_document_only_after_a_while() {
-    let mut asking = Asking::default();
+    let mut asking = PeerSelector::default();
     let far = [informant(2, 6, false, true)];
-    assert_eq!(next(&mut asking, &far, None, 0, NOW_MS), Next::Nothing);
+    assert_eq!(
+        next(&mut asking, &far, None, 0, NOW_MS),
+        FetchDecision::Idle
+    );
     assert_eq!(
         next(&mut asking, &far, None, 0, NOW_MS + 499),
-        Next::Nothing
+        FetchDecision::Idle
     );
     let later = next(&mut asking, &far, None, 0, NOW_MS + 500);
     assert_eq!(port(&later), Some((2, true)));
@@ -123,37 +138,37 @@
 
 #[test]
 fn another_zone_is_asked_for_the_list_at_once() {
-    let mut asking = Asking::default();
-    let far = [with_list_news(informant(2, 6, false, true))];
+    let mut asking = PeerSelector::default();
+    let far = [with_newer_list(informant(2, 6, false, true))];
     let next = next(&mut asking, &far, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((2, false)));
 }
 
 #[test]
 fn one_without_room_is_asked_again_when_it_has_some() {
-    let mut asking = Asking::default();
+    let mut asking = PeerSelector::default();
     let all = [informant(3, 6, true, true)];
-    asking.busy(&all[0].instance, 40, NOW_MS);
+    asking.mark_document_busy(&all[0].instance, 40, NOW_MS);
     let waits = next(&mut asking, &all, None, 0, NOW_MS + 10);
-    assert_eq!(waits, Next::Wait { wait_ms: 30 });
+    assert_eq!(waits, FetchDecision::Wait { wait_ms: 30 });
     let again = next(&mut asking, &all, None, 0, NOW_MS + 40);
     assert_eq!(port(&again), Some((3, true)));
 }
 
 #[test]
 fn one_without_room_for_a_document_is_asked_for_the_list() {
-    let mut asking = Asking::default();
-    let all = [with_list_news(informant(3, 6, true, true))];
-    asking.busy(&all[0].instance, 40, NOW_MS);
+    let mut asking = PeerSelector::default();
+    let all = [with_newer_list(informant(3, 6, true, true))];
+    asking.mark_document_busy(&all[0].instance, 40, NOW_MS);
     let next = next(&mut asking, &all, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((3, false)));
 }
 
 #[test]
 fn one_that_gave_nothing_is_left_alone_for_a_while() {
-    let mut asking = Asking::default();
+    let mut asking = PeerSelector::default();
     let all = [informant(3, 6, true, true), informant(4, 6, true, true)];
-    asking.failed(&all[0].instance, NOW_MS);
+    asking.mark_failed(&all[0].instance, NOW_MS);
     for draw in 0..40 {
         let next = next(&mut asking, &all, None, draw, NOW_MS + 799);
         assert_eq!(port(&next), Some((4, true)));
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 
 use super::adapter::Adapter;
-use super::checks::check_beside;
+use super::checks::check_in_background;
 use super::heartbeat::{
     Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram,
 };
@@ -260,7 +260,7 @@
     node.hear_limits(&heartbeat.instance, &heartbeat.limits, now_ms);
     for id in &heartbeat.unsound {
         if let Some(stage) = node.told_unsound(id) {
-            check_beside(node, &stage);
+            check_in_background(node, &stage);
         }
     }
     let mut fleet = node.fleet.borrow_mut();
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -12,15 +12,15 @@
 use super::adapter::{Adapter, ReplyFacts};
 use super::headers;
 use super::node::Node;
-use super::request::{RelayedRequest, finish, instant_at, word_response};
-use super::send_view::SendView;
+use super::request::{RelayedRequest, error_response, finish, instant_at};
+use super::send_context::SendView;
 use super::upstream::UpstreamFailure;
 use crate::clock::boot_ms;
 use crate::fleet::{Trouble, pick_replica};
 use crate::ids::EndpointId;
 use crate::quarantine::Doubt;
 use crate::relay::{
-    AttemptEnd, AttemptLimit, Attempts, FinalWord, GivenUp, NextStep, RefusalCause, RepeatPurpose,
+    AttemptEnd, AttemptLimit, Attempts, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose,
 };
 
 /// Longest answer that is held until it is whole.
@@ -52,7 +52,7 @@
 {
     let mut attempts = Attempts::new(request.route.repeat, request.route.max_endpoints);
     let mut sent = SendView::default();
-    let until = instant_at(request.final_ms, boot_ms());
+    let until = instant_at(request.deadline_ms, boot_ms());
     let answer = answer(node, &request, &mut attempts, &mut sent);
     let result = timeout_at(until, answer).await;
     let GivenUp { word, limit } = match result {
@@ -77,7 +77,7 @@
         list_age_ms = node.fleet.borrow().age_ms(boot_ms());
         "request has no answer"
     );
-    word_response(node, word, request.outlook(node))
+    error_response(node, word, request.retry_conditions(node))
 }
 
 async fn answer<A>(
@@ -142,11 +142,11 @@
             node.cancel_repeat(&request.service);
         }
         match attempts.ended(end, || {
-            node.take_repeat(&request.service, RepeatPurpose::Begin)
+            node.take_repeat(&request.service, RetryPurpose::Start)
         }) {
             NextStep::TryAgain => {}
             NextStep::PassOn(limit) => {
-                let word = FinalWord::Unknown;
+                let word = FinalError::Unknown;
                 return answer_or(held, GivenUp { word, limit });
             }
             // No part of an answer goes out here before it is whole.
@@ -168,7 +168,7 @@
     let node = Rc::clone(node);
     let endpoint = endpoint.clone();
     actix_rt::spawn(async move {
-        match node.upstreams.open_idle(address, boot_ms()).await {
+        match node.upstreams.preconnect(address, boot_ms()).await {
             Ok(()) => {
                 if let Some(known) = node.fleet.borrow().get(&endpoint) {
                     known.heard.note(boot_ms());
@@ -255,7 +255,7 @@
     }
     let now_ms = boot_ms();
     let keep_alive_ms = headers::keep_alive_ms(&head);
-    node.upstreams.put_back(body, keep_alive_ms, now_ms);
+    node.upstreams.release(body, keep_alive_ms, now_ms);
     if let Some(failed) = unusable(&facts, head.status) {
         return failed;
     }
--- a/src/relay_server/repeat_loans.rs
+++ b/src/relay_server/repeat_loans.rs
@@ -13,20 +13,20 @@
 use super::node::Node;
 use super::peer_book::PeerBook;
 use crate::ids::ServiceName;
-use crate::relay::{Lender, RepeatAmount, RepeatLoan, RepeatPurpose, part_of_need};
+use crate::relay::{Lender, RetryAmount, RetryLoan, RetryPurpose, share_of_need};
 
 /// What a peer wants of this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Want {
     /// Where the peer takes heartbeats.
     pub(super) address: SocketAddr,
-    pub(super) amount: RepeatAmount,
+    pub(super) amount: RetryAmount,
 }
 
 /// What peers want of this instance: of each need that was heard since the last heartbeat, an even
 /// part among those of the zone that do not lack the same. Each need is answered once.
 pub(super) fn wants(peers: &mut PeerBook, now_ms: u64) -> Vec<Want> {
-    let mut askers: IndexMap<(ServiceName, RepeatPurpose), usize> = IndexMap::new();
+    let mut askers: IndexMap<(ServiceName, RetryPurpose), usize> = IndexMap::new();
     let mut heard: usize = 0;
     for peer in peers.near_heard(now_ms) {
         heard += 1;
@@ -43,8 +43,8 @@
             let lenders = (1 + heard).saturating_sub(same);
             wants.push(Want {
                 address: peer.address,
-                amount: RepeatAmount {
-                    milli_repeats: part_of_need(need.milli_repeats, lenders),
+                amount: RetryAmount {
+                    milli_retries: share_of_need(need.milli_retries, lenders),
                     ..need
                 },
             });
@@ -58,7 +58,7 @@
     A: Adapter,
 {
     /// Repeats that this instance lacks.
-    pub(super) fn repeat_needs(&self, now_ms: u64) -> Vec<RepeatAmount> {
+    pub(super) fn repeat_needs(&self, now_ms: u64) -> Vec<RetryAmount> {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         let spare_milli = budget.spare_milli(share, now_ms);
@@ -82,12 +82,12 @@
         let loans = budget.lend(&amounts, share, now_ms);
         self.count_milli("relay.repeats.lent_milli", &loans);
         for (address, loan) in addresses.into_iter().zip(loans) {
-            if loan.amount.milli_repeats > 0 {
+            if loan.amount.milli_retries > 0 {
                 answers.entry(address).or_default().lent.push(loan);
             }
         }
         let peers = self.peers.borrow();
-        for (lender, unused) in budget.give_back(now_ms) {
+        for (lender, unused) in budget.take_expired(now_ms) {
             if let Some(address) = peers.address_of(&lender) {
                 answers.entry(address).or_default().given_back.push(unused);
             }
@@ -113,16 +113,16 @@
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         budget.borrow(&answer.lent, &lender, share, asked_ms, now_ms);
-        budget.take_back(&answer.given_back);
+        budget.reclaim(&answer.given_back);
         self.count_milli("relay.repeats.borrowed_milli", &answer.lent);
         self.count_milli("relay.repeats.taken_back_milli", &answer.given_back);
     }
 
-    fn count_milli(&self, name: &str, loans: &[RepeatLoan]) {
+    fn count_milli(&self, name: &str, loans: &[RetryLoan]) {
         if loans.is_empty() {
             return;
         }
-        let milli = |it: &RepeatLoan| u64::from(it.amount.milli_repeats);
+        let milli = |it: &RetryLoan| u64::from(it.amount.milli_retries);
         self.counters.add(name, loans.iter().map(milli).sum());
     }
 }
--- a/src/relay_server/repeat_loans_tests.rs
+++ b/src/relay_server/repeat_loans_tests.rs
@@ -5,13 +5,13 @@
 use super::peer_book_tests::{READY, address, book, heartbeat};
 use super::repeat_loans::{Want, wants};
 use crate::ids::ServiceName;
-use crate::relay::{Lender, RepeatAmount, RepeatLoan, RepeatPurpose};
+use crate::relay::{Lender, RetryAmount, RetryLoan, RetryPurpose};
 
-fn need(milli_repeats: u32) -> RepeatAmount {
-    RepeatAmount {
+fn need(milli_retries: u32) -> RetryAmount {
+    RetryAmount {
         service: ServiceName::from("menu-mind"),
-        purpose: RepeatPurpose::Begin,
-        milli_repeats,
+        purpose: RetryPurpose::Start,
+        milli_retries,
     }
 }
 
@@ -34,9 +34,9 @@
 
 #[test]
 fn a_need_is_dealt_out_among_those_of_the_zone_that_lack_nothing() {
-    let want = |port, milli_repeats| Want {
+    let want = |port, milli_retries| Want {
         address: address(port),
-        amount: need(milli_repeats),
+        amount: need(milli_retries),
     };
     assert_eq!(
         wants(&mut asked(), 600),
@@ -106,7 +106,7 @@
     let without = length(&beat, &PeerPart::default());
     beat.repeat_needs = vec![need(90_000)];
     let answer = PeerPart {
-        lent: vec![RepeatLoan {
+        lent: vec![RetryLoan {
             id: 70,
             amount: need(3_100),
         }],
--- a/src/relay_server/request.rs
+++ b/src/relay_server/request.rs
@@ -15,7 +15,7 @@
 use crate::fleet::Chain;
 use crate::ids::{AccountId, EndpointId, ServiceName};
 use crate::quarantine::RequestDigest;
-use crate::relay::{FinalWord, Outlook};
+use crate::relay::{FinalError, RetryConditions};
 use crate::route_table::{Route, RouteTable};
 
 /// What is left of a caller's time below which nothing is sent any more.
@@ -36,7 +36,7 @@
     pub(crate) digest: Option<RequestDigest>,
     pub(crate) arrived_ms: u64,
     /// When the caller must have the final word: its own limit or the route's.
-    pub(crate) final_ms: u64,
+    pub(crate) deadline_ms: u64,
 }
 
 impl RelayedRequest {
@@ -47,7 +47,7 @@
 
     /// Time until the final word.
     pub(crate) fn left_ms(&self, now_ms: u64) -> u64 {
-        self.final_ms.saturating_sub(now_ms)
+        self.deadline_ms.saturating_sub(now_ms)
     }
 
     /// Whether enough time is left to send it.
@@ -89,7 +89,7 @@
 
 impl RelayedRequest {
     /// What decides when the request should be asked for again, if it is refused.
-    pub(crate) fn outlook<A>(&self, node: &Node<A>) -> Outlook
+    pub(crate) fn retry_conditions<A>(&self, node: &Node<A>) -> RetryConditions
     where
         A: Adapter,
     {
@@ -113,17 +113,17 @@
 }
 
 /// The answer that tells a caller the final word.
-pub(crate) fn word_response<A>(
+pub(crate) fn error_response<A>(
     node: &Node<A>,
-    word: FinalWord,
-    outlook: Outlook,
+    word: FinalError,
+    outlook: RetryConditions,
 ) -> Response<BoxBody>
 where
     A: Adapter,
 {
     let status = StatusCode::from_u16(word.status()).unwrap_or(StatusCode::SERVICE_UNAVAILABLE);
     let mut response = Response::with_body(status, BoxBody::new(word.name()));
-    if let FinalWord::NotRun(cause) = word {
+    if let FinalError::NotRun(cause) = word {
         let seconds = format!("{:.3}", cause.retry_after_ms(outlook) as f64 / 1_000.0);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             response.headers_mut().insert(RETRY_AFTER, value);
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -16,7 +16,6 @@
 use tokio::time::sleep;
 
 use super::adapter::{Adapter, FeedFailure};
-use super::asking::{Asking, Begun, Knowledge, Next, Question};
 use super::document_parts::{DocumentNews, DocumentPart, DocumentParts, DocumentQuery, PartFault};
 use super::feeds::take_table;
 use super::list_log::ListNews;
@@ -24,6 +23,7 @@
 use super::list_sync::{self, ListUpdate};
 use super::node::Node;
 use super::peer::Informant;
+use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
 use super::query::query_pairs;
 use super::uplink::Admission;
 use crate::clients::{HttpCall, HttpFailure, HttpPeer};
@@ -208,23 +208,25 @@
 where
     A: Adapter,
 {
-    let mut asking = Asking::default();
+    let mut asking = PeerSelector::default();
     let mut parts = Parts::default();
     loop {
         let pause_ms = match look(&node, &mut asking, &mut parts) {
-            Next::Ask(question) => match ask(&node, &mut asking, &mut parts, &question).await {
-                Ok(true) => continue,
-                Ok(false) => LOOK_MS,
-                Err(failure) => {
-                    let peer = &question.peer;
-                    log::warn!(peer:% = peer.address, failure:% = failure; "snapshot was not taken");
-                    asking.failed(&peer.instance, boot_ms());
-                    parts.list.clear();
-                    continue;
+            FetchDecision::Fetch(question) => {
+                match ask(&node, &mut asking, &mut parts, &question).await {
+                    Ok(true) => continue,
+                    Ok(false) => LOOK_MS,
+                    Err(failure) => {
+                        let peer = &question.peer;
+                        log::warn!(peer:% = peer.address, failure:% = failure; "snapshot was not taken");
+                        asking.mark_failed(&peer.instance, boot_ms());
+                        parts.list.clear();
+                        continue;
+                    }
                 }
-            },
-            Next::Wait { wait_ms } => wait_ms.min(LOOK_MS),
-            Next::Nothing => LOOK_MS,
+            }
+            FetchDecision::Wait { wait_ms } => wait_ms.min(LOOK_MS),
+            FetchDecision::Idle => LOOK_MS,
         };
         tokio::select! {
             () = sleep(Duration::from_millis(pause_ms)) => {}
@@ -240,7 +242,7 @@
     list: ListParts,
 }
 
-fn look<A>(node: &Node<A>, asking: &mut Asking, parts: &mut Parts) -> Next
+fn look<A>(node: &Node<A>, asking: &mut PeerSelector, parts: &mut Parts) -> FetchDecision
 where
     A: Adapter,
 {
@@ -249,16 +251,16 @@
     let known = known_here(node);
     count_wasted(node, parts.document.drop_known(known.table));
     parts.list.drop_without_giver(&informants, known);
-    let knowledge = Knowledge {
-        behind_since_ms: asking.note_behind(&informants, known, now_ms),
+    let knowledge = SyncState {
+        behind_since_ms: asking.update_lag(&informants, known, now_ms),
         reads_store: node.reads_store(),
         is_fed: node.is_fed(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
     let draw = node.draw();
-    let begun = Begun {
+    let begun = PartialFetches {
         document: parts.document.version(),
-        list_giver: parts.list.giver(),
+        list_provider: parts.list.giver(),
     };
     asking.next(&informants, knowledge, known, begun, draw, now_ms)
 }
@@ -284,14 +286,14 @@
 /// Asks a peer. Returns whether that has brought anything, also the word to come again.
 async fn ask<A>(
     node: &Rc<Node<A>>,
-    asking: &mut Asking,
+    asking: &mut PeerSelector,
     parts: &mut Parts,
-    question: &Question,
+    question: &FetchRequest,
 ) -> Result<bool, SnapshotFailure>
 where
     A: Adapter,
 {
-    let Question {
+    let FetchRequest {
         peer,
         wants_document,
     } = question;
@@ -311,7 +313,7 @@
             }
             ListOffer::Busy { wait_ms } => {
                 has_brought = true;
-                asking.list_busy(&peer.instance, wait_ms, boot_ms());
+                asking.mark_list_busy(&peer.instance, wait_ms, boot_ms());
                 None
             }
         };
@@ -323,7 +325,7 @@
     match snapshot.document {
         DocumentNews::Nothing => Ok(has_brought || known_here(node) != known),
         DocumentNews::Busy { wait_ms } => {
-            asking.busy(&peer.instance, wait_ms, boot_ms());
+            asking.mark_document_busy(&peer.instance, wait_ms, boot_ms());
             Ok(true)
         }
         DocumentNews::Part(part) => {
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -19,20 +19,20 @@
 
 use self::ending::{EndOfRelay, Finish};
 use super::adapter::Adapter;
-use super::checks::check_beside;
+use super::checks::check_in_background;
 use super::headers;
 use super::held_tokens::HeldTokens;
 use super::node::Node;
 use super::request::{RelayedRequest, instant_at};
-use super::send_view::SendView;
-use super::stream_answer::Opening;
+use super::send_context::SendView;
+use super::stream_response::Opening;
 use super::upstream::{AnswerBody, Exchange, UpstreamFailure};
 use crate::clock::boot_ms;
 use crate::fleet::{Chain, ChainStage, Trouble};
 use crate::ids::EndpointId;
 use crate::quarantine::RunStage;
 use crate::relay::{
-    AttemptEnd, Attempts, EventSplitter, FinalWord, GivenUp, NextStep, RefusalCause, RepeatPurpose,
+    AttemptEnd, Attempts, EventSplitter, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose,
     StallWatch,
 };
 
@@ -62,7 +62,7 @@
     attempts: Attempts,
     splitter: EventSplitter,
     stall: StallWatch,
-    opening: Option<oneshot::Sender<Result<Opening, FinalWord>>>,
+    opening: Option<oneshot::Sender<Result<Opening, FinalError>>>,
     pieces: mpsc::Sender<Result<Bytes, io::Error>>,
     /// The newest failure that an engine answered with, whole.
     failure: Option<Opening>,
@@ -93,7 +93,7 @@
     pub(super) fn new(
         node: &Rc<Node<A>>,
         request: RelayedRequest,
-        opening: oneshot::Sender<Result<Opening, FinalWord>>,
+        opening: oneshot::Sender<Result<Opening, FinalError>>,
         pieces: mpsc::Sender<Result<Bytes, io::Error>>,
     ) -> Self {
         Self {
@@ -125,7 +125,7 @@
     }
 
     async fn relay(&mut self) {
-        let until = instant_at(self.request.final_ms, boot_ms());
+        let until = instant_at(self.request.deadline_ms, boot_ms());
         let finish = match timeout_at(until, self.serve()).await {
             Ok(finish) => finish,
             Err(_) => Finish::Word(self.attempts.give_up(RefusalCause::TooLate)),
@@ -209,7 +209,7 @@
             {
                 NextStep::TryAgain | NextStep::GoOn => {}
                 NextStep::PassOn(limit) => {
-                    let word = FinalWord::Unknown;
+                    let word = FinalError::Unknown;
                     return Finish::Word(GivenUp { word, limit });
                 }
                 NextStep::GiveUp(end) => return Finish::Word(end),
@@ -250,7 +250,7 @@
             let at_fault = at_fault.unwrap_or_else(|| held.chain().first().clone());
             self.note_full(&at_fault.endpoint);
             // It may be full, leaving, or dead; the answer does not say which.
-            check_beside(&self.node, &at_fault);
+            check_in_background(&self.node, &at_fault);
             return RunEnd::Failed(AttemptEnd::TurnedAway, Trouble::Full, at_fault.endpoint);
         }
         if !head.status.is_success() || !facts.is_sealed {
@@ -354,7 +354,7 @@
                         Err(self.broken(UpstreamFailure::Broken, held.chain()))
                     }
                     Ok(None) => {
-                        self.node.upstreams.put_back(body, keep_alive_ms, boot_ms());
+                        self.node.upstreams.release(body, keep_alive_ms, boot_ms());
                         return RunEnd::Whole;
                     }
                     Err(failure) => Err(self.broken(failure, held.chain())),
@@ -415,12 +415,12 @@
     }
 
     /// What another run would be for.
-    fn repeat_purpose(&self) -> RepeatPurpose {
+    fn repeat_purpose(&self) -> RetryPurpose {
         // The answer's head has gone out: whatever ends the request now cuts it off.
         if self.attempts.has_begun() {
-            RepeatPurpose::GoOn
+            RetryPurpose::Resume
         } else {
-            RepeatPurpose::Begin
+            RetryPurpose::Start
         }
     }
 
@@ -436,7 +436,7 @@
         match failure {
             UpstreamFailure::NoListener => self.node.troubled(&first, Trouble::Ended),
             UpstreamFailure::NoConnection | UpstreamFailure::Broken => {
-                check_beside(&self.node, chain.first());
+                check_in_background(&self.node, chain.first());
             }
             UpstreamFailure::Garbled | UpstreamFailure::Withdrawn => {}
         }
--- a/src/relay_server/stream/go_on.rs
+++ b/src/relay_server/stream/go_on.rs
@@ -5,7 +5,7 @@
 use super::StreamRelay;
 use crate::clock::boot_ms;
 use crate::fleet::{Chain, KnownEndpoint};
-use crate::relay::{Lack, RefusalCause, RepeatPurpose};
+use crate::relay::{Lack, RefusalCause, RetryPurpose};
 use crate::relay_server::adapter::Adapter;
 use crate::relay_server::request::instant_at;
 
@@ -49,7 +49,7 @@
     /// Has other instances lend a repeat: without it they would only hear of those that were refused.
     fn ask_zone(&self) {
         let service = &self.request.service;
-        self.node.await_repeat(service, RepeatPurpose::GoOn);
+        self.node.await_repeat(service, RetryPurpose::Resume);
     }
 
     fn next_run(&mut self, now_ms: u64) -> Result<Chain, Lack> {
@@ -57,7 +57,7 @@
         // First, since it costs least to find out.
         let due_ms = self
             .node
-            .next_repeat_ms(service, RepeatPurpose::GoOn, now_ms);
+            .next_repeat_ms(service, RetryPurpose::Resume, now_ms);
         if due_ms > now_ms {
             return Err(Lack::Repeat { due_ms });
         }
@@ -70,7 +70,7 @@
             return Err(Lack::Room { until_ms });
         }
         // Taken at the send and not before: what is taken early would leave the window early too.
-        if !self.node.take_repeat(service, RepeatPurpose::GoOn) {
+        if !self.node.take_repeat(service, RetryPurpose::Resume) {
             return Err(Lack::Repeat { due_ms: now_ms });
         }
         self.attempts.takes_repeat();
--- a/src/relay_server/stream_answer.rs
+++ b/src/relay_server/stream_response.rs
@@ -15,9 +15,9 @@
 
 use super::adapter::Adapter;
 use super::node::Node;
-use super::request::{RelayedRequest, finish, word_response};
+use super::request::{RelayedRequest, error_response, finish};
 use super::stream::StreamRelay;
-use crate::relay::FinalWord;
+use crate::relay::FinalError;
 
 /// Pieces that wait for a caller who reads slowly.
 const WAITING_PIECES: usize = 64;
@@ -37,7 +37,7 @@
 where
     A: Adapter,
 {
-    let outlook = request.outlook(node);
+    let outlook = request.retry_conditions(node);
     let (opening_sender, opening) = oneshot::channel();
     let (pieces_sender, pieces) = mpsc::channel(WAITING_PIECES);
     let relay = StreamRelay::new(node, request, opening_sender, pieces_sender);
@@ -59,19 +59,19 @@
             *response.headers_mut() = headers;
             finish(node, response)
         }
-        Some(Err(word)) => word_response(node, word, outlook),
+        Some(Err(word)) => error_response(node, word, outlook),
         None => {
             body.pieces.close();
-            word_response(node, FinalWord::Unknown, outlook)
+            error_response(node, FinalError::Unknown, outlook)
         }
     }
 }
 
 /// Waits for the opening; `None` if the task ended without one.
-struct PendingOpening(oneshot::Receiver<Result<Opening, FinalWord>>);
+struct PendingOpening(oneshot::Receiver<Result<Opening, FinalError>>);
 
 impl Future for &mut PendingOpening {
-    type Output = Option<Result<Opening, FinalWord>>;
+    type Output = Option<Result<Opening, FinalError>>;
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Self::Output> {
         Pin::new(&mut self.0).poll(cx).map(Result::ok)
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -8,9 +8,9 @@
 use bytes::Bytes;
 use proptest::prelude::*;
 
-use super::asking::Knowledge;
+use super::peer_selection::SyncState;
 use super::snapshot::{Known, read_snapshot};
-use super::upstream::{UpstreamFailure, Upstreams};
+use super::upstream::{UpstreamFailure, UpstreamPool};
 
 /// How the endpoint ends the connection after its bytes.
 #[derive(Clone, Copy)]
@@ -53,7 +53,7 @@
 /// The body, if it is whole; and whether a second request would go over the same connection.
 async fn fetch(answer: &'static [u8], end: End) -> Result<Vec<u8>, UpstreamFailure> {
     let address = endpoint(answer, end);
-    let upstreams = Upstreams::new();
+    let upstreams = UpstreamPool::new();
     let head = RequestHead::default();
     let exchange = upstreams
         .send(address, head, Bytes::new(), 0, || true)
@@ -63,7 +63,7 @@
     while let Some(bytes) = body.next().await? {
         whole.extend_from_slice(&bytes);
     }
-    upstreams.put_back(body, None, 0);
+    upstreams.release(body, None, 0);
     Ok(whole)
 }
 
@@ -113,14 +113,14 @@
 async fn a_connection_with_bytes_of_no_request_is_not_used_again() {
     let extra = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n";
     let address = endpoint(extra, End::KeepOpen);
-    let upstreams = Upstreams::new();
+    let upstreams = UpstreamPool::new();
     for _ in 0..2 {
         let exchange = upstreams
             .send(address, RequestHead::default(), Bytes::new(), 0, || true)
             .await;
         let (_, mut body) = exchange.expect("sent").head().await.expect("an answer");
         while body.next().await.expect("whole").is_some() {}
-        upstreams.put_back(body, None, 0);
+        upstreams.release(body, None, 0);
         assert!(!upstreams.has_idle(address));
     }
 }
@@ -130,7 +130,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     drop(listener);
-    let sent = Upstreams::new()
+    let sent = UpstreamPool::new()
         .send(address, RequestHead::default(), Bytes::new(), 0, || true)
         .await;
     assert_eq!(sent.err(), Some(UpstreamFailure::NoListener));
@@ -142,7 +142,7 @@
 async fn nothing_is_sent_to_an_endpoint_that_is_not_to_be_sent_requests_any_more() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
-    let sent = Upstreams::new()
+    let sent = UpstreamPool::new()
         .send(address, RequestHead::default(), Bytes::new(), 0, || false)
         .await;
     assert_eq!(sent.err(), Some(UpstreamFailure::Withdrawn));
@@ -163,26 +163,26 @@
 #[test]
 fn peers_are_asked_only_for_what_the_store_does_not_tell() {
     let wanting = |behind_since_ms, store_answers, list_age_ms| {
-        let knowledge = Knowledge {
+        let knowledge = SyncState {
             behind_since_ms,
             reads_store: true,
             is_fed: store_answers,
             list_age_ms,
         };
-        knowledge.is_wanting(10_000)
+        knowledge.needs_fetch(10_000)
     };
     assert!(!wanting(None, true, 3_650), "nothing has changed");
     assert!(wanting(None, false, 3_650));
     assert!(!wanting(None, false, 2_900));
     assert!(wanting(Some(9_400), true, 0));
     assert!(!wanting(Some(9_600), true, 0), "its own watch brings it");
-    let told = Knowledge {
+    let told = SyncState {
         behind_since_ms: Some(10_000),
         reads_store: false,
         is_fed: true,
         list_age_ms: 0,
     };
-    assert!(told.is_wanting(10_000), "nothing else brings it");
+    assert!(told.needs_fetch(10_000), "nothing else brings it");
 }
 
 #[test]
--- a/src/relay_server/upstream.rs
+++ b/src/relay_server/upstream.rs
@@ -84,7 +84,7 @@
 }
 
 /// The connections of this process to endpoints.
-pub(crate) struct Upstreams {
+pub(crate) struct UpstreamPool {
     config: ServiceConfig,
     idle: RefCell<IndexMap<SocketAddr, Vec<Idle>>>,
 }
@@ -110,7 +110,7 @@
     Whole(Option<Framed<TcpStream, ClientPayloadCodec>>),
 }
 
-impl Upstreams {
+impl UpstreamPool {
     /// No connection yet.
     pub(crate) fn new() -> Self {
         Self {
@@ -158,7 +158,7 @@
     }
 
     /// Keeps the connection of a whole answer for the next request, if it can be.
-    pub(crate) fn put_back(&self, body: AnswerBody, keep_alive_ms: Option<u64>, now_ms: u64) {
+    pub(crate) fn release(&self, body: AnswerBody, keep_alive_ms: Option<u64>, now_ms: u64) {
         let BodyState::Whole(Some(framed)) = body.state else {
             return;
         };
@@ -181,7 +181,7 @@
     }
 
     /// Opens a connection to an endpoint and keeps it for the next request.
-    pub(crate) async fn open_idle(
+    pub(crate) async fn preconnect(
         &self,
         address: SocketAddr,
         now_ms: u64,
