--- a/src/relay_server/asking.rs
+++ b/src/relay_server/asking.rs
@@ -210,7 +210,7 @@
         let others = informants
             .iter()
             .filter(|it| !self.failed.contains_key(&it.instance))
-            .filter(|it| knowledge.is_list_old() || it.list.changed > known.list);
+            .filter(|it| knowledge.is_list_old() || it.list.last_change > known.list);
         let (busy, free): (Vec<&Informant>, Vec<&Informant>) =
             others.partition(|it| self.list_busy.contains_key(&it.instance));
         if let Some(peer) = free.iter().find(|it| Some(&it.instance) == giver) {
@@ -231,7 +231,7 @@
     /// One of those that are asked first for what has changed.
     fn best_lister<'a>(others: &[&'a Informant], known: Known, draw: u64) -> Option<&'a Informant> {
         let order = |it: &Informant| {
-            let has_news = it.list.changed > known.list;
+            let has_news = it.list.last_change > known.list;
             Reverse((has_news, it.is_near, it.reaches_store))
         };
         let best = others.iter().map(|it| order(it)).min()?;
--- a/src/relay_server/asking_tests.rs
+++ b/src/relay_server/asking_tests.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::asking::{Asking, Begun, Knowledge, Next, Question};
-use super::list_log::ListMark;
+use super::list_log::ListWatermark;
 use super::peer::Informant;
 use super::snapshot::Known;
 use crate::ids::InstanceId;
@@ -16,7 +16,7 @@
         instance: InstanceId::from(format!("peer-{port}")),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         table,
-        list: ListMark::default(),
+        list: ListWatermark::default(),
         link_mbps: 20,
         reaches_store,
         is_near,
@@ -24,9 +24,9 @@
 }
 
 pub(super) fn with_list_news(mut informant: Informant) -> Informant {
-    informant.list = ListMark {
+    informant.list = ListWatermark {
         position: 9,
-        changed: 9,
+        last_change: 9,
     };
     informant
 }
--- a/src/relay_server/handing_on_tests/world.rs
+++ b/src/relay_server/handing_on_tests/world.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::super::asking::{Asking, Begun, Knowledge, Next};
-use super::super::list_log::ListMark;
+use super::super::list_log::ListWatermark;
 use super::super::peer::Informant;
 use super::super::peer_book::HEARTBEAT_MS;
 use super::super::reading::FIRST_OF_ZONE;
@@ -337,7 +337,7 @@
                 instance: it.name.clone(),
                 address: it.address,
                 table: own.heard[at].0,
-                list: ListMark::default(),
+                list: ListWatermark::default(),
                 link_mbps: it.link_mbps,
                 reaches_store: it.reads_store() && it.is_answered,
                 is_near: it.zone == own.zone,
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::list_log::ListMark;
+use super::list_log::ListWatermark;
 use crate::fleet::{EngineLoad, ToldLimit};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::quarantine::ToldEvidence;
@@ -33,7 +33,7 @@
     /// Age of that table.
     pub(super) table_age_ms: u64,
     /// How far the sender knows the list of endpoints.
-    pub(super) list: ListMark,
+    pub(super) list: ListWatermark,
     /// Age of that list.
     pub(super) list_age_ms: u64,
     /// Time since the store last answered the sender, if it reads the store itself.
@@ -117,7 +117,7 @@
     /// Age of that table.
     pub(crate) table_age_ms: u64,
     /// How far the list of endpoints is known.
-    pub(crate) list: ListMark,
+    pub(crate) list: ListWatermark,
     /// Age of that list.
     pub(crate) list_age_ms: u64,
     /// Time since the store last answered, if it is read here.
--- a/src/relay_server/list_log.rs
+++ b/src/relay_server/list_log.rs
@@ -14,11 +14,11 @@
 
 /// How far an instance knows the list of endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ListMark {
+pub(crate) struct ListWatermark {
     /// Position up to which it is known; 0 if nothing is.
     pub(crate) position: u64,
     /// Position of the newest read that brought anything. Never above `position`.
-    pub(crate) changed: u64,
+    pub(crate) last_change: u64,
 }
 
 /// A read of the list that brought changes.
@@ -45,7 +45,7 @@
 /// Reads of the list, the newest last.
 #[derive(Debug, Default)]
 pub(crate) struct ListLog {
-    mark: ListMark,
+    mark: ListWatermark,
     /// Whoever knows the list up to here needs only the reads that are kept.
     floor: u64,
     reads: VecDeque<LoggedRead>,
@@ -53,16 +53,16 @@
 
 impl ListLog {
     /// How far the list is known here.
-    pub(crate) fn mark(&self) -> ListMark {
+    pub(crate) fn watermark(&self) -> ListWatermark {
         self.mark
     }
 
     /// Notes a read of the store.
     pub(crate) fn note(&mut self, position: u64, read: &ListingRead, was_away: bool) {
         let ListingScope::Changes { removed } = &read.scope else {
-            return self.restart(ListMark {
+            return self.restart(ListWatermark {
                 position,
-                changed: position,
+                last_change: position,
             });
         };
         if position <= self.mark.position {
@@ -73,7 +73,7 @@
         if is_empty {
             return;
         }
-        self.mark.changed = position;
+        self.mark.last_change = position;
         self.reads.push_back(LoggedRead {
             position,
             read: read.clone(),
@@ -87,22 +87,22 @@
     }
 
     /// Notes that the whole list was taken: what changed on the way to it is not known.
-    pub(crate) fn restart(&mut self, mark: ListMark) {
+    pub(crate) fn restart(&mut self, mark: ListWatermark) {
         self.reads.clear();
         self.floor = mark.position;
         self.mark = mark;
     }
 
     /// Notes that a peer which knows the list up to `peer` has nothing that is not known here.
-    pub(crate) fn confirm(&mut self, peer: ListMark) {
-        if self.mark.position >= peer.changed {
+    pub(crate) fn confirm(&mut self, peer: ListWatermark) {
+        if self.mark.position >= peer.last_change {
             self.mark.position = self.mark.position.max(peer.position);
         }
     }
 
     /// Whether one that knows the list up to `position` lacks more than is kept of its changes.
     pub(crate) fn needs_whole(&self, position: u64) -> bool {
-        position < self.mark.changed && position < self.floor
+        position < self.mark.last_change && position < self.floor
     }
 
     /// What one that knows the list up to `position` must be told; `whole` makes the whole list.
@@ -110,7 +110,7 @@
     where
         F: FnOnce() -> Vec<ListedEndpoint>,
     {
-        if position >= self.mark.changed {
+        if position >= self.mark.last_change {
             return ListNews::Nothing;
         }
         if self.needs_whole(position) {
--- a/src/relay_server/list_log_tests.rs
+++ b/src/relay_server/list_log_tests.rs
@@ -1,7 +1,7 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use super::list_log::{ListLog, ListMark, ListNews};
+use super::list_log::{ListLog, ListNews, ListWatermark};
 use crate::fleet::{Fleet, ListedEndpoint, ListingRead, Phase};
 use crate::ids::{EndpointId, EndpointName, ServiceName, ZoneName};
 
@@ -45,10 +45,10 @@
     log.note(19, &changes(&[], &[1]), true);
     log.note(25, &changes(&[], &[]), false);
     assert_eq!(
-        log.mark(),
-        ListMark {
+        log.watermark(),
+        ListWatermark {
             position: 25,
-            changed: 19
+            last_change: 19
         }
     );
     assert_eq!(log.news_since(19, none_needed), ListNews::Nothing);
@@ -69,22 +69,22 @@
 fn a_peer_that_knows_of_no_change_confirms_the_list() {
     let mut log = ListLog::default();
     log.note(10, &ListingRead::whole(Vec::new()), false);
-    log.confirm(ListMark {
+    log.confirm(ListWatermark {
         position: 30,
-        changed: 9,
+        last_change: 9,
     });
     assert_eq!(
-        log.mark(),
-        ListMark {
+        log.watermark(),
+        ListWatermark {
             position: 30,
-            changed: 10
+            last_change: 10
         }
     );
-    log.confirm(ListMark {
+    log.confirm(ListWatermark {
         position: 40,
-        changed: 35,
+        last_change: 35,
     });
-    assert_eq!(log.mark().position, 30, "a change is not known here");
+    assert_eq!(log.watermark().position, 30, "a change is not known here");
 }
 
 #[test]
@@ -144,7 +144,7 @@
             wanted.sort();
             prop_assert_eq!(&known, &wanted);
             prop_assert_eq!(known.len(), store.len());
-            prop_assert_eq!(one.0.mark().position, reader.0.mark().position);
+            prop_assert_eq!(one.0.watermark().position, reader.0.watermark().position);
         }
     }
 }
@@ -155,7 +155,10 @@
 
 /// Tells one instance what another knows.
 fn tell(from: &(ListLog, Fleet), to: &mut (ListLog, Fleet)) {
-    match from.0.news_since(to.0.mark().position, || from.1.listing()) {
+    match from
+        .0
+        .news_since(to.0.watermark().position, || from.1.listing())
+    {
         ListNews::Nothing => {}
         ListNews::Changes(reads) => {
             for it in reads {
@@ -164,9 +167,9 @@
             }
         }
         ListNews::Whole(entries) => {
-            to.0.restart(from.0.mark());
+            to.0.restart(from.0.watermark());
             to.1.take(ListingRead::whole(entries), false, 0);
         }
     }
-    to.0.confirm(from.0.mark());
+    to.0.confirm(from.0.watermark());
 }
--- a/src/relay_server/list_parts.rs
+++ b/src/relay_server/list_parts.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::list_log::{ListMark, ListNews};
+use super::list_log::{ListNews, ListWatermark};
 use super::list_sync::ListUpdate;
 use super::peer::Informant;
 use super::query::query_pairs;
@@ -71,7 +71,7 @@
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct ListPart {
     /// How far the peer knows the list.
-    pub(super) mark: ListMark,
+    pub(super) mark: ListWatermark,
     /// Entries of the whole list.
     pub(super) total: u32,
     /// Where in it this part begins.
@@ -82,7 +82,7 @@
 /// The rest of a whole list that one lacks which has so far.
 #[derive(Debug)]
 pub(super) struct ListRest {
-    mark: ListMark,
+    mark: ListWatermark,
     from: usize,
     entries: Vec<ListedEndpoint>,
 }
@@ -90,10 +90,14 @@
 impl ListRest {
     /// The rest of a list, where the other has what `query` names. Entries are told in an order that
     /// stays the same as long as the list does.
-    pub(super) fn new(mark: ListMark, mut entries: Vec<ListedEndpoint>, query: ListQuery) -> Self {
+    pub(super) fn new(
+        mark: ListWatermark,
+        mut entries: Vec<ListedEndpoint>,
+        query: ListQuery,
+    ) -> Self {
         entries.sort_unstable_by(|a, b| a.id.as_str().cmp(b.id.as_str()));
         let has = usize::try_from(query.entries).unwrap_or(usize::MAX);
-        let goes_on = query.changed == mark.changed && has < entries.len();
+        let goes_on = query.changed == mark.last_change && has < entries.len();
         Self {
             mark,
             from: if goes_on { has } else { 0 },
@@ -172,7 +176,7 @@
         if part.total > MOST_ENTRIES {
             return Err(ListPartFault::TooLong);
         }
-        let goes_on = self.giver() == Some(peer) && self.changed == part.mark.changed;
+        let goes_on = self.giver() == Some(peer) && self.changed == part.mark.last_change;
         if !goes_on || part.from == 0 {
             self.clear();
         }
@@ -181,7 +185,7 @@
             return Err(ListPartFault::DoesNotFit);
         }
         self.giver = Some(peer.clone());
-        self.changed = part.mark.changed;
+        self.changed = part.mark.last_change;
         self.entries.extend(part.entries);
         if as_count(self.entries.len()) < part.total {
             return Ok(None);
@@ -199,7 +203,7 @@
     pub(super) fn drop_without_giver(&mut self, informants: &[Informant], known: Known) {
         let is_giver = |it: &&Informant| Some(&it.instance) == self.giver();
         let giver = informants.iter().find(is_giver);
-        if giver.is_none_or(|it| it.list.changed <= known.list) {
+        if giver.is_none_or(|it| it.list.last_change <= known.list) {
             self.clear();
         }
     }
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -3,15 +3,15 @@
 use std::net::SocketAddr;
 
 use super::asking_tests::{informant, with_list_news};
-use super::list_log::{ListMark, ListNews};
+use super::list_log::{ListNews, ListWatermark};
 use super::list_parts::{ListParts, ListQuery, ListRest};
 use super::snapshot::Known;
 use crate::fleet::{ListedEndpoint, Phase};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
 
-const MARK: ListMark = ListMark {
+const MARK: ListWatermark = ListWatermark {
     position: 9,
-    changed: 7,
+    last_change: 7,
 };
 /// Bytes of a part that holds some of the entries below.
 const PART_BYTES: usize = 8_000;
@@ -83,9 +83,9 @@
     let mut parts = ListParts::default();
     let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
     assert!(parts.take(first, &giver()).expect("it fits").is_none());
-    let later = ListMark {
+    let later = ListWatermark {
         position: 12,
-        changed: 12,
+        last_change: 12,
     };
     let part = ListRest::new(later, entries(301), parts.query(&giver())).part(PART_BYTES);
     assert_eq!(part.from, 0);
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -171,7 +171,7 @@
             },
             table: 1,
             table_age_ms: 0,
-            list: self.log.mark(),
+            list: self.log.watermark(),
             list_age_ms: self.fleet.age_ms(now_ms),
             store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
             held: Vec::new(),
@@ -253,7 +253,7 @@
     pub(super) fn known(&self) -> Known {
         Known {
             table: 1,
-            list: self.log.mark().position,
+            list: self.log.watermark().position,
         }
     }
 
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::adapter::FeedRead;
-use super::list_log::{ListLog, ListMark, ListNews};
+use super::list_log::{ListLog, ListNews, ListWatermark};
 use crate::fleet::{Fleet, FleetChange, InfoPath, ListingRead};
 use crate::ids::InstanceId;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ListUpdate {
     /// How far the peer knows the list.
-    pub(super) mark: ListMark,
+    pub(super) mark: ListWatermark,
     pub(super) news: ListNews,
 }
 
@@ -34,14 +34,14 @@
     sent_ms: u64,
     now_ms: u64,
 ) -> Taken {
-    let known = log.mark();
+    let known = log.watermark();
     if read.position < known.position {
         // A peer has told more since the call was sent.
         fleet.confirm(sent_ms);
         return Taken::default();
     }
     log.note(read.position, &read.content, was_away);
-    let is_news = log.mark().changed != known.changed;
+    let is_news = log.watermark().last_change != known.last_change;
     let changes = fleet.take(read.content, was_away, now_ms);
     fleet.confirm(sent_ms);
     Taken { changes, is_news }
@@ -50,7 +50,7 @@
 /// What one that knows the list up to `position` is told, where the list is known here.
 pub(super) fn update_since(log: &ListLog, fleet: &Fleet, position: u64) -> Option<ListUpdate> {
     fleet.is_known().then(|| ListUpdate {
-        mark: log.mark(),
+        mark: log.watermark(),
         news: log.news_since(position, || fleet.listing()),
     })
 }
@@ -68,7 +68,7 @@
 ) -> Vec<FleetChange> {
     let ListUpdate { mark, news } = update;
     let path = InfoPath::PeerList(peer.clone());
-    let own = log.mark().position;
+    let own = log.watermark().position;
     let mut changes = Vec::new();
     match news {
         ListNews::Nothing => {}
@@ -97,10 +97,10 @@
     log: &mut ListLog,
     fleet: &mut Fleet,
     peer: &InstanceId,
-    mark: ListMark,
+    mark: ListWatermark,
     newest_at_ms: Option<u64>,
 ) -> bool {
-    let knows_list = log.mark().position >= mark.changed;
+    let knows_list = log.watermark().position >= mark.last_change;
     if let Some(newest_at_ms) = newest_at_ms
         && knows_list
         && mark.position > 0
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::heartbeat::{Availability, Echo, Heartbeat};
-use super::list_log::ListMark;
+use super::list_log::ListWatermark;
 use super::reading::STALE_MS;
 use super::snapshot::Known;
 use crate::fleet::EngineLoad;
@@ -46,7 +46,7 @@
     /// Version of its table of routes.
     pub(super) table: u64,
     /// How far it knows the list of endpoints.
-    pub(super) list: ListMark,
+    pub(super) list: ListWatermark,
     /// When the store last answered it, if it reads the store.
     pub(super) store_answered_ms: Option<u64>,
     /// When its record was read, or its first heartbeat came.
@@ -76,7 +76,7 @@
     /// Version of its table of routes.
     pub(crate) table: u64,
     /// How far it knows the list of endpoints.
-    pub(crate) list: ListMark,
+    pub(crate) list: ListWatermark,
     /// Speed of its link; 0 if that is not known.
     pub(crate) link_mbps: u32,
     /// Whether the store answers it.
@@ -88,7 +88,7 @@
 impl Informant {
     /// Whether it knows what one that knows so far does not.
     pub(super) fn knows_more(&self, known: Known) -> bool {
-        self.table > known.table || self.list.changed > known.list
+        self.table > known.table || self.list.last_change > known.list
     }
 }
 
@@ -113,7 +113,7 @@
             turn_ms: 0,
             availability: Availability::default(),
             table: 0,
-            list: ListMark::default(),
+            list: ListWatermark::default(),
             store_answered_ms: None,
             known_since_ms: now_ms,
             heard_ms: None,
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -6,7 +6,7 @@
 use super::heartbeat::{
     Availability, Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram,
 };
-use super::list_log::ListMark;
+use super::list_log::ListWatermark;
 use super::peer::{InstanceRecord, Recipient};
 use super::peer_book::{HolderEnd, PeerBook};
 use super::test_settings::settings;
@@ -57,7 +57,7 @@
         availability,
         table: 3,
         table_age_ms: 100,
-        list: ListMark::default(),
+        list: ListWatermark::default(),
         list_age_ms: 100,
         store_age_ms: availability.reaches_store.then_some(100),
         held: Vec::new(),
@@ -195,9 +195,9 @@
         availability: READY,
         table: 12,
         table_age_ms: 1_200,
-        list: ListMark {
+        list: ListWatermark {
             position: 123_456,
-            changed: 120_000,
+            last_change: 120_000,
         },
         list_age_ms: 1_300,
         store_age_ms: Some(700),
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -173,7 +173,7 @@
         availability: node.availability(),
         table: node.routes().map_or(0, |table| table.version),
         table_age_ms: node.table.borrow().age_ms(now_ms),
-        list: node.list_log.borrow().mark(),
+        list: node.list_log.borrow().watermark(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
         store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
         held,
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -277,7 +277,7 @@
 {
     Known {
         table: node.routes().map_or(0, |table| table.version),
-        list: node.list_log.borrow().mark().position,
+        list: node.list_log.borrow().watermark().position,
     }
 }
 
