--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -153,7 +153,7 @@
 {
     let now_ms = boot_ms();
     let was_away = node.store.get().is_away(now_ms);
-    let taken = list_sync::take_read(
+    let applied = list_sync::apply_read(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
         read,
@@ -162,8 +162,8 @@
         now_ms,
     );
     node.note_informed();
-    node.fleet_changed(&taken.changes);
-    if taken.is_news {
+    node.fleet_changed(&applied.changes);
+    if applied.must_notify_peers {
         node.tell_knowledge();
     }
 }
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -213,7 +213,8 @@
         let newest_at_ms = sent_ms.map(|it| it.saturating_sub(heartbeat.list_age_ms));
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let peer = &heartbeat.instance;
-        let knows_list = list_sync::hear_mark(log, fleet, peer, heartbeat.list, newest_at_ms);
+        let knows_list =
+            list_sync::observe_peer_watermark(log, fleet, peer, heartbeat.list, newest_at_ms);
         let relays = self.book.is_among_first(now_ms);
         self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
@@ -238,16 +239,16 @@
         self.position = Some(read.position);
         let was_away = self.store.is_away(now_ms);
         let (log, fleet) = (&mut self.log, &mut self.fleet);
-        let taken = list_sync::take_read(log, fleet, read, was_away, sent_ms, now_ms);
-        for change in &taken.changes {
+        let applied = list_sync::apply_read(log, fleet, read, was_away, sent_ms, now_ms);
+        for change in &applied.changes {
             if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
                 self.book.tell_leaving(id);
             }
         }
-        if taken.is_news {
+        if applied.must_notify_peers {
             self.book.tell_knowledge();
         }
-        taken.is_news
+        applied.must_notify_peers
     }
 
     pub(super) fn known(&self) -> Known {
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -18,33 +18,36 @@
 
 /// What a read of the list has changed here.
 #[derive(Debug, Default)]
-pub(super) struct Taken {
+pub(super) struct AppliedRead {
     pub(super) changes: Vec<FleetChange>,
     /// Whether it brought anything that peers must be told.
-    pub(super) is_news: bool,
+    pub(super) must_notify_peers: bool,
 }
 
 /// Takes a read of the store that was sent at `sent_ms`. `was_away` says that the list could not be read
 /// or kept shortly before.
-pub(super) fn take_read(
+pub(super) fn apply_read(
     log: &mut ListLog,
     fleet: &mut Fleet,
     read: FeedRead<ListingRead>,
     was_away: bool,
     sent_ms: u64,
     now_ms: u64,
-) -> Taken {
+) -> AppliedRead {
     let known = log.watermark();
     if read.position < known.position {
         // A peer has told more since the call was sent.
         fleet.confirm(sent_ms);
-        return Taken::default();
+        return AppliedRead::default();
     }
     log.note(read.position, &read.content, was_away);
-    let is_news = log.watermark().last_change != known.last_change;
+    let must_notify_peers = log.watermark().last_change != known.last_change;
     let changes = fleet.take(read.content, was_away, now_ms);
     fleet.confirm(sent_ms);
-    Taken { changes, is_news }
+    AppliedRead {
+        changes,
+        must_notify_peers,
+    }
 }
 
 /// What one that knows the list up to `position` is told, where the list is known here.
@@ -93,7 +96,7 @@
 
 /// Takes a peer's word on how far it knows the list: `newest_at_ms` is when its list was surely the
 /// newest, where that can be told on the own clock. Returns whether this instance knows as much.
-pub(super) fn hear_mark(
+pub(super) fn observe_peer_watermark(
     log: &mut ListLog,
     fleet: &mut Fleet,
     peer: &InstanceId,
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -214,7 +214,7 @@
 {
     let version = node.routes().map_or(0, |table| table.version);
     let newest_at_ms = |age_ms| own_sent_ms.map(|sent_ms| sent_ms.saturating_sub(age_ms));
-    let knows_list = list_sync::hear_mark(
+    let knows_list = list_sync::observe_peer_watermark(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
         &heartbeat.instance,
