--- a/src/relay_server/asking.rs
+++ b/src/relay_server/asking.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 
 use super::peer::Informant;
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use super::uplink::UNKNOWN_LINK_MBPS;
 use crate::ids::InstanceId;
 
@@ -96,7 +96,7 @@
     pub(super) fn note_behind(
         &mut self,
         informants: &[Informant],
-        known: Known,
+        known: KnownVersions,
         now_ms: u64,
     ) -> Option<u64> {
         let is_behind = informants.iter().any(|it| it.knows_more(known));
@@ -114,7 +114,7 @@
         &mut self,
         informants: &[Informant],
         knowledge: Knowledge,
-        known: Known,
+        known: KnownVersions,
         begun: Begun<'_>,
         draw: u64,
         now_ms: u64,
@@ -170,7 +170,7 @@
     fn source<'a>(
         &self,
         informants: &'a [Informant],
-        known: Known,
+        known: KnownVersions,
         part_of: Option<u64>,
         may_ask_far: bool,
         draw: u64,
@@ -203,7 +203,7 @@
         &self,
         informants: &'a [Informant],
         knowledge: Knowledge,
-        known: Known,
+        known: KnownVersions,
         giver: Option<&InstanceId>,
         draw: u64,
     ) -> Source<'a> {
@@ -229,7 +229,11 @@
     }
 
     /// One of those that are asked first for what has changed.
-    fn best_lister<'a>(others: &[&'a Informant], known: Known, draw: u64) -> Option<&'a Informant> {
+    fn best_lister<'a>(
+        others: &[&'a Informant],
+        known: KnownVersions,
+        draw: u64,
+    ) -> Option<&'a Informant> {
         let order = |it: &Informant| {
             let has_news = it.list.last_change > known.list;
             Reverse((has_news, it.is_near, it.reaches_store))
--- a/src/relay_server/asking_tests.rs
+++ b/src/relay_server/asking_tests.rs
@@ -5,10 +5,10 @@
 use super::asking::{Asking, Begun, Knowledge, Next, Question};
 use super::list_log::ListWatermark;
 use super::peer::Informant;
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use crate::ids::InstanceId;
 
-const KNOWN: Known = Known { table: 5, list: 7 };
+const KNOWN: KnownVersions = KnownVersions { table: 5, list: 7 };
 const NOW_MS: u64 = 10_000;
 
 pub(super) fn informant(port: u16, table: u64, is_near: bool, reaches_store: bool) -> Informant {
--- a/src/relay_server/handing_on_tests/world.rs
+++ b/src/relay_server/handing_on_tests/world.rs
@@ -13,7 +13,7 @@
 use super::super::peer::Informant;
 use super::super::peer_book::HEARTBEAT_MS;
 use super::super::reading::FIRST_OF_ZONE;
-use super::super::snapshot::{FETCH_TIMEOUT_MS, Known, LOOK_MS};
+use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, LOOK_MS};
 use super::super::uplink::{Admission, Uplink};
 use super::links::{LinkEvent, Links, Transfer};
 use crate::ids::InstanceId;
@@ -355,7 +355,7 @@
         let informants = self.informants(index);
         let draw = self.rng.random();
         let own = &mut self.instances[index];
-        let known = Known {
+        let known = KnownVersions {
             table: own.table,
             list: 0,
         };
--- a/src/relay_server/list_parts.rs
+++ b/src/relay_server/list_parts.rs
@@ -9,7 +9,7 @@
 use super::list_sync::ListUpdate;
 use super::peer::Informant;
 use super::query::query_pairs;
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use crate::fleet::ListedEndpoint;
 use crate::ids::InstanceId;
 
@@ -200,7 +200,7 @@
 
     /// Drops what is here unless its giver is heard and still knows more: nobody else is asked for the
     /// whole list meanwhile.
-    pub(super) fn drop_without_giver(&mut self, informants: &[Informant], known: Known) {
+    pub(super) fn drop_without_giver(&mut self, informants: &[Informant], known: KnownVersions) {
         let is_giver = |it: &&Informant| Some(&it.instance) == self.giver();
         let giver = informants.iter().find(is_giver);
         if giver.is_none_or(|it| it.list.last_change <= known.list) {
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -5,7 +5,7 @@
 use super::asking_tests::{informant, with_list_news};
 use super::list_log::{ListNews, ListWatermark};
 use super::list_parts::{ListParts, ListQuery, ListRest};
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use crate::fleet::{ListedEndpoint, Phase};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
 
@@ -114,7 +114,7 @@
     let mut parts = ListParts::default();
     let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
     parts.take(first, &giver.instance).expect("it fits");
-    let known = Known { table: 1, list: 0 };
+    let known = KnownVersions { table: 1, list: 0 };
     parts.drop_without_giver(&both, known);
     assert!(!parts.query(&other.instance).wants_whole);
     parts.drop_without_giver(&both[1..], known);
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -14,7 +14,7 @@
 use super::super::peer::{Informant, InstanceRecord, Recipient};
 use super::super::peer_book::PeerBook;
 use super::super::settings::RelaySettings;
-use super::super::snapshot::Known;
+use super::super::snapshot::KnownVersions;
 use super::super::store_contact::StoreContact;
 use super::super::test_settings;
 use super::store::Access;
@@ -251,8 +251,8 @@
         applied.must_notify_peers
     }
 
-    pub(super) fn known(&self) -> Known {
-        Known {
+    pub(super) fn known(&self) -> KnownVersions {
+        KnownVersions {
             table: 1,
             list: self.log.watermark().position,
         }
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -8,7 +8,7 @@
 use super::heartbeat::{Availability, Echo, Heartbeat};
 use super::list_log::ListWatermark;
 use super::reading::STALE_MS;
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
 use crate::relay::RepeatAmount;
@@ -87,7 +87,7 @@
 
 impl Informant {
     /// Whether it knows what one that knows so far does not.
-    pub(super) fn knows_more(&self, known: Known) -> bool {
+    pub(super) fn knows_more(&self, known: KnownVersions) -> bool {
         self.table > known.table || self.list.last_change > known.list
     }
 }
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -122,7 +122,7 @@
     actix_rt::spawn(room_notice::tell_full(Rc::clone(node), socket));
     actix_rt::spawn(feeds::follow_table(Rc::clone(node)));
     actix_rt::spawn(feeds::follow_endpoints(Rc::clone(node)));
-    actix_rt::spawn(snapshot::follow_peers(Rc::clone(node)));
+    actix_rt::spawn(snapshot::sync_from_peers(Rc::clone(node)));
     actix_rt::spawn(duty::place_layers(Rc::clone(node)));
     actix_rt::spawn(records::follow_records(Rc::clone(node)));
     actix_rt::spawn(sweep(Rc::clone(node)));
@@ -159,7 +159,7 @@
                 Page::Metrics => front::metrics(&node),
                 Page::Peers => {
                     let query = request.uri().query().unwrap_or("");
-                    snapshot::answer(&node, query, request.peer_addr())
+                    snapshot::respond(&node, query, request.peer_addr())
                 }
             };
             Ok::<_, Infallible>(response)
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -60,14 +60,14 @@
 
 /// How far one that asks knows both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Known {
+pub(super) struct KnownVersions {
     /// Version of its table of routes; 0 if it has none.
     pub(super) table: u64,
     /// Position in the list of endpoints; 0 if it has none.
     pub(super) list: u64,
 }
 
-impl Known {
+impl KnownVersions {
     fn path(self, document: DocumentQuery, parts: ListQuery) -> String {
         let Self { table, list } = self;
         let (document, parts) = (document.text(), parts.text());
@@ -108,12 +108,12 @@
 
 /// Answers a peer's question. What has changed in the list of endpoints is told also where there is no
 /// room for the document: one that leaves must be known everywhere within two seconds.
-pub(super) fn answer<A>(node: &Node<A>, query: &str, peer: Option<SocketAddr>) -> Response<BoxBody>
+pub(super) fn respond<A>(node: &Node<A>, query: &str, peer: Option<SocketAddr>) -> Response<BoxBody>
 where
     A: Adapter,
 {
     let now_ms = boot_ms();
-    let known = Known::from_query(query);
+    let known = KnownVersions::from_query(query);
     let document = document_for(node, known, DocumentQuery::from_query(query), peer, now_ms);
     let offer = list_for(node, known, ListQuery::from_query(query), now_ms);
     let snapshot = Snapshot {
@@ -134,7 +134,12 @@
 }
 
 /// What a peer that knows so far is told of the list of endpoints, where it is known here.
-fn list_for<A>(node: &Node<A>, known: Known, query: ListQuery, now_ms: u64) -> Option<ListOffer>
+fn list_for<A>(
+    node: &Node<A>,
+    known: KnownVersions,
+    query: ListQuery,
+    now_ms: u64,
+) -> Option<ListOffer>
 where
     A: Adapter,
 {
@@ -165,7 +170,7 @@
 /// What a peer that knows so far is given of the document.
 fn document_for<A>(
     node: &Node<A>,
-    known: Known,
+    known: KnownVersions,
     query: DocumentQuery,
     peer: Option<SocketAddr>,
     now_ms: u64,
@@ -204,7 +209,7 @@
 }
 
 /// Asks peers whenever they know more than the store tells here, for as long as the process runs.
-pub(super) async fn follow_peers<A>(node: Rc<Node<A>>)
+pub(super) async fn sync_from_peers<A>(node: Rc<Node<A>>)
 where
     A: Adapter,
 {
@@ -271,11 +276,11 @@
         .add("relay.snapshots.wasted_bytes", bytes as u64);
 }
 
-fn known_here<A>(node: &Node<A>) -> Known
+fn known_here<A>(node: &Node<A>) -> KnownVersions
 where
     A: Adapter,
 {
-    Known {
+    KnownVersions {
         table: node.routes().map_or(0, |table| table.version),
         list: node.list_log.borrow().watermark().position,
     }
@@ -343,10 +348,10 @@
     if reply.status != StatusCode::OK.as_u16() {
         return Err(SnapshotFailure::Status(reply.status));
     }
-    Ok(read_snapshot(&reply.body)?)
+    Ok(decode_snapshot(&reply.body)?)
 }
 
-pub(super) fn read_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
+pub(super) fn decode_snapshot(bytes: &[u8]) -> Result<Snapshot, postcard::Error> {
     postcard::from_bytes(bytes)
 }
 
@@ -388,7 +393,7 @@
     node: &Node<A>,
     peer: &InstanceId,
     update: ListUpdate,
-    asked_with: Known,
+    asked_with: KnownVersions,
     newest_at_ms: u64,
 ) where
     A: Adapter,
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 
 use super::asking::Knowledge;
-use super::snapshot::{Known, read_snapshot};
+use super::snapshot::{KnownVersions, decode_snapshot};
 use super::upstream::{UpstreamFailure, Upstreams};
 
 /// How the endpoint ends the connection after its bytes.
@@ -156,7 +156,7 @@
     /// Whatever a peer hands over, reading it ends.
     #[test]
     fn no_snapshot_crashes_its_reader(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = read_snapshot(&bytes);
+        let _ = decode_snapshot(&bytes);
     }
 }
 
@@ -187,14 +187,17 @@
 
 #[test]
 fn a_question_says_what_is_known() {
-    let known = Known::from_query("table=12&list=340");
+    let known = KnownVersions::from_query("table=12&list=340");
     assert_eq!(
         known,
-        Known {
+        KnownVersions {
             table: 12,
             list: 340
         }
     );
-    assert_eq!(Known::from_query(""), Known::default());
-    assert_eq!(Known::from_query("table=x&list&other=3"), Known::default());
+    assert_eq!(KnownVersions::from_query(""), KnownVersions::default());
+    assert_eq!(
+        KnownVersions::from_query("table=x&list&other=3"),
+        KnownVersions::default()
+    );
 }
