--- a/src/relay_server/mod.rs
+++ b/src/relay_server/mod.rs
@@ -8,6 +8,8 @@
 #[cfg(test)]
 mod asking_tests;
 mod checks;
+#[cfg(test)]
+mod document_distribution_tests;
 mod document_parts;
 #[cfg(test)]
 mod document_parts_tests;
@@ -15,8 +17,6 @@
 mod feeds;
 mod fleet_lines;
 mod front;
-#[cfg(test)]
-mod handing_on_tests;
 mod headers;
 mod heartbeat;
 mod held_tokens;
@@ -27,7 +27,7 @@
 #[cfg(test)]
 mod list_parts_tests;
 #[cfg(test)]
-mod list_spread_tests;
+mod list_propagation_tests;
 mod list_sync;
 mod load_change;
 mod locate;
