--- a/src/relay_server/handing_on_tests/world.rs
+++ b/src/relay_server/document_distribution_tests/world.rs
@@ -8,15 +8,15 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use super::super::list_log::ListMark;
+use crate::ids::InstanceId;
+use super::links::{LinkEvent, Links, Transfer};
+use super::super::list_log::ListWatermark;
 use super::super::peer::SyncSource;
 use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
 use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
-use super::super::snapshot::{FETCH_TIMEOUT_MS, Known, LOOK_MS};
+use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, LOOK_MS};
 use super::super::store_readers::READERS_PER_ZONE;
 use super::super::uplink::{Admission, Uplink};
-use super::links::{LinkEvent, Links, Transfer};
-use crate::ids::InstanceId;
 
 /// Silence after which a peer of the own zone is not asked.
 const SILENT_MS: u64 = 800;
@@ -337,7 +337,7 @@
                 instance: it.name.clone(),
                 address: it.address,
                 table: own.heard[at].0,
-                list: ListMark::default(),
+                list: ListWatermark::default(),
                 link_mbps: it.link_mbps,
                 reaches_store: it.reads_store() && it.is_answered,
                 is_same_zone: it.zone == own.zone,
@@ -355,7 +355,7 @@
         let sync_sources = self.sync_sources(index);
         let draw = self.rng.random();
         let own = &mut self.instances[index];
-        let known = Known {
+        let known = KnownVersions {
             table: own.table,
             list: 0,
         };
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::list_log::ListMark;
 use crate::fleet::{EngineLoad, LimitReport};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::quarantine::ToldEvidence;
 use crate::relay::{RetryAmount, RetryLoan};
 use crate::wire::engine::LayerRange;
+use super::list_log::ListWatermark;
 
 /// What an instance tells the others of itself and of the endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
     /// Age of that table.
     pub(super) table_age_ms: u64,
     /// How far the sender knows the list of endpoints.
-    pub(super) list: ListMark,
+    pub(super) list: ListWatermark,
     /// Age of that list.
     pub(super) list_age_ms: u64,
     /// Time since the store last answered the sender, if it reads the store itself.
@@ -117,7 +117,7 @@
     /// Age of that table.
     pub(crate) table_age_ms: u64,
     /// How far the list of endpoints is known.
-    pub(crate) list: ListMark,
+    pub(crate) list: ListWatermark,
     /// Age of that list.
     pub(crate) list_age_ms: u64,
     /// Time since the store last answered, if it is read here.
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -5,6 +5,10 @@
 use indexmap::IndexSet;
 use rand::rngs::SmallRng;
 
+use crate::fleet::{Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica};
+use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
+use crate::quarantine::Quarantine;
+use super::store::Access;
 use super::super::adapter::FeedRead;
 use super::super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::super::list_log::ListLog;
@@ -14,15 +18,9 @@
 use super::super::peer_book::PeerBook;
 use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
 use super::super::settings::RelaySettings;
-use super::super::snapshot::Known;
+use super::super::snapshot::KnownVersions;
 use super::super::store_contact::StoreHealth;
 use super::super::test_settings;
-use super::store::Access;
-use crate::fleet::{
-    Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica,
-};
-use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
-use crate::quarantine::Quarantine;
 
 /// An endpoint that stays in service for the whole run.
 const STAYS: &str = "e29";
@@ -171,7 +169,7 @@
             },
             table: 1,
             table_age_ms: 0,
-            list: self.log.mark(),
+            list: self.log.watermark(),
             list_age_ms: self.fleet.age_ms(now_ms),
             store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
             held: Vec::new(),
@@ -213,7 +211,8 @@
         let newest_at_ms = sent_ms.map(|it| it.saturating_sub(heartbeat.list_age_ms));
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let peer = &heartbeat.instance;
-        let knows_list = list_sync::hear_mark(log, fleet, peer, heartbeat.list, newest_at_ms);
+        let knows_list =
+            list_sync::observe_peer_watermark(log, fleet, peer, heartbeat.list, newest_at_ms);
         let relays = self.book.is_top_ranked_in_zone(now_ms);
         self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
@@ -238,22 +237,22 @@
         self.position = Some(read.position);
         let was_away = self.store.is_unavailable(now_ms);
         let (log, fleet) = (&mut self.log, &mut self.fleet);
-        let taken = list_sync::take_read(log, fleet, read, was_away, sent_ms, now_ms);
-        for change in &taken.changes {
+        let applied = list_sync::apply_read(log, fleet, read, was_away, sent_ms, now_ms);
+        for change in &applied.changes {
             if let FleetChange::Leaving(id) | FleetChange::Removed(id) = change {
                 self.book.announce_leaving(id);
             }
         }
-        if taken.is_news {
+        if applied.must_notify_peers {
             self.book.request_heartbeat();
         }
-        taken.is_news
+        applied.must_notify_peers
     }
 
-    pub(super) fn known(&self) -> Known {
-        Known {
+    pub(super) fn known(&self) -> KnownVersions {
+        KnownVersions {
             table: 1,
-            list: self.log.mark().position,
+            list: self.log.watermark().position,
         }
     }
 
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -3,54 +3,57 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::adapter::FeedRead;
-use super::list_log::{ListLog, ListMark, ListNews};
 use crate::fleet::{Fleet, FleetChange, InfoSource, ListingRead};
 use crate::ids::InstanceId;
+use super::adapter::FeedRead;
+use super::list_log::{ListLog, ListNews, ListWatermark};
 
 /// What a peer tells of the list of endpoints.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ListUpdate {
     /// How far the peer knows the list.
-    pub(super) mark: ListMark,
+    pub(super) mark: ListWatermark,
     pub(super) news: ListNews,
 }
 
 /// What a read of the list has changed here.
 #[derive(Debug, Default)]
-pub(super) struct Taken {
+pub(super) struct AppliedRead {
     pub(super) changes: Vec<FleetChange>,
     /// Whether it brought anything that peers must be told.
-    pub(super) is_news: bool,
+    pub(super) must_notify_peers: bool,
 }
 
 /// Takes a read of the store that was sent at `sent_ms`. `was_away` says that the list could not be read
 /// or kept shortly before.
-pub(super) fn take_read(
+pub(super) fn apply_read(
     log: &mut ListLog,
     fleet: &mut Fleet,
     read: FeedRead<ListingRead>,
     was_away: bool,
     sent_ms: u64,
     now_ms: u64,
-) -> Taken {
-    let known = log.mark();
+) -> AppliedRead {
+    let known = log.watermark();
     if read.position < known.position {
         // A peer has told more since the call was sent.
         fleet.confirm(sent_ms);
-        return Taken::default();
+        return AppliedRead::default();
     }
     log.note(read.position, &read.content, was_away);
-    let is_news = log.mark().changed != known.changed;
+    let must_notify_peers = log.watermark().last_change != known.last_change;
     let changes = fleet.apply_read(read.content, was_away, now_ms);
     fleet.confirm(sent_ms);
-    Taken { changes, is_news }
+    AppliedRead {
+        changes,
+        must_notify_peers,
+    }
 }
 
 /// What one that knows the list up to `position` is told, where the list is known here.
 pub(super) fn update_since(log: &ListLog, fleet: &Fleet, position: u64) -> Option<ListUpdate> {
     fleet.is_loaded().then(|| ListUpdate {
-        mark: log.mark(),
+        mark: log.watermark(),
         news: log.news_since(position, || fleet.listed_endpoints()),
     })
 }
@@ -68,7 +71,7 @@
 ) -> Vec<FleetChange> {
     let ListUpdate { mark, news } = update;
     let path = InfoSource::PeerList(peer.clone());
-    let own = log.mark().position;
+    let own = log.watermark().position;
     let mut changes = Vec::new();
     match news {
         ListNews::Nothing => {}
@@ -93,14 +96,14 @@
 
 /// Takes a peer's word on how far it knows the list: `newest_at_ms` is when its list was surely the
 /// newest, where that can be told on the own clock. Returns whether this instance knows as much.
-pub(super) fn hear_mark(
+pub(super) fn observe_peer_watermark(
     log: &mut ListLog,
     fleet: &mut Fleet,
     peer: &InstanceId,
-    mark: ListMark,
+    mark: ListWatermark,
     newest_at_ms: Option<u64>,
 ) -> bool {
-    let knows_list = log.mark().position >= mark.changed;
+    let knows_list = log.watermark().position >= mark.last_change;
     if let Some(newest_at_ms) = newest_at_ms
         && knows_list
         && mark.position > 0
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -5,13 +5,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::heartbeat::{Availability, Echo, Heartbeat};
-use super::list_log::ListMark;
-use super::snapshot::Known;
-use super::store_readers::STALE_MS;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
 use crate::relay::RetryAmount;
+use super::heartbeat::{Availability, Echo, Heartbeat};
+use super::list_log::ListWatermark;
+use super::snapshot::KnownVersions;
+use super::store_readers::STALE_MS;
 
 /// Silence after which a peer is not named to callers any more: two heartbeats may be lost.
 const SILENT_MS: u64 = 800;
@@ -46,7 +46,7 @@
     /// Version of its table of routes.
     pub(super) table: u64,
     /// How far it knows the list of endpoints.
-    pub(super) list: ListMark,
+    pub(super) list: ListWatermark,
     /// When the store last answered it, if it reads the store.
     pub(super) store_answered_ms: Option<u64>,
     /// When its record was read, or its first heartbeat came.
@@ -76,7 +76,7 @@
     /// Version of its table of routes.
     pub(crate) table: u64,
     /// How far it knows the list of endpoints.
-    pub(crate) list: ListMark,
+    pub(crate) list: ListWatermark,
     /// Speed of its link; 0 if that is not known.
     pub(crate) link_mbps: u32,
     /// Whether the store answers it.
@@ -87,8 +87,8 @@
 
 impl SyncSource {
     /// Whether it knows what one that knows so far does not.
-    pub(super) fn is_ahead_of(&self, known: Known) -> bool {
-        self.table > known.table || self.list.changed > known.list
+    pub(super) fn is_ahead_of(&self, known: KnownVersions) -> bool {
+        self.table > known.table || self.list.last_change > known.list
     }
 }
 
@@ -113,7 +113,7 @@
             turn_ms: 0,
             availability: Availability::default(),
             table: 0,
-            list: ListMark::default(),
+            list: ListWatermark::default(),
             store_answered_ms: None,
             known_since_ms: now_ms,
             heard_ms: None,
--- a/src/relay_server/peer_selection.rs
+++ b/src/relay_server/peer_selection.rs
@@ -4,10 +4,10 @@
 
 use indexmap::IndexMap;
 
+use crate::ids::InstanceId;
 use super::peer::SyncSource;
-use super::snapshot::Known;
+use super::snapshot::KnownVersions;
 use super::uplink::UNKNOWN_LINK_MBPS;
-use crate::ids::InstanceId;
 
 /// How long a peer must have had a newer table before it is asked: the own watch of the store brings
 /// a new version within tens of milliseconds of the others'.
@@ -96,7 +96,7 @@
     pub(super) fn update_lag(
         &mut self,
         sync_sources: &[SyncSource],
-        known: Known,
+        known: KnownVersions,
         now_ms: u64,
     ) -> Option<u64> {
         let is_behind = sync_sources.iter().any(|it| it.is_ahead_of(known));
@@ -114,7 +114,7 @@
         &mut self,
         sync_sources: &[SyncSource],
         knowledge: SyncState,
-        known: Known,
+        known: KnownVersions,
         begun: PartialFetches<'_>,
         draw: u64,
         now_ms: u64,
@@ -170,7 +170,7 @@
     fn source<'a>(
         &self,
         sync_sources: &'a [SyncSource],
-        known: Known,
+        known: KnownVersions,
         part_of: Option<u64>,
         may_ask_far: bool,
         draw: u64,
@@ -203,14 +203,14 @@
         &self,
         sync_sources: &'a [SyncSource],
         knowledge: SyncState,
-        known: Known,
+        known: KnownVersions,
         giver: Option<&InstanceId>,
         draw: u64,
     ) -> Source<'a> {
         let others = sync_sources
             .iter()
             .filter(|it| !self.failed.contains_key(&it.instance))
-            .filter(|it| knowledge.is_list_old() || it.list.changed > known.list);
+            .filter(|it| knowledge.is_list_old() || it.list.last_change > known.list);
         let (busy, free): (Vec<&SyncSource>, Vec<&SyncSource>) =
             others.partition(|it| self.list_busy.contains_key(&it.instance));
         if let Some(peer) = free.iter().find(|it| Some(&it.instance) == giver) {
@@ -232,11 +232,11 @@
     /// One of those that are asked first for what has changed.
     fn best_lister<'a>(
         others: &[&'a SyncSource],
-        known: Known,
+        known: KnownVersions,
         draw: u64,
     ) -> Option<&'a SyncSource> {
         let order = |it: &SyncSource| {
-            let has_news = it.list.changed > known.list;
+            let has_news = it.list.last_change > known.list;
             Reverse((has_news, it.is_same_zone, it.reaches_store))
         };
         let best = others.iter().map(|it| order(it)).min()?;
--- a/src/relay_server/peer_selection_tests.rs
+++ b/src/relay_server/peer_selection_tests.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use super::list_log::ListMark;
+use crate::ids::InstanceId;
+use super::list_log::ListWatermark;
 use super::peer::SyncSource;
 use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
-use super::snapshot::Known;
-use crate::ids::InstanceId;
+use super::snapshot::KnownVersions;
 
-const KNOWN: Known = Known { table: 5, list: 7 };
+const KNOWN: KnownVersions = KnownVersions { table: 5, list: 7 };
 const NOW_MS: u64 = 10_000;
 
 pub(super) fn informant(
@@ -21,7 +21,7 @@
         instance: InstanceId::from(format!("peer-{port}")),
         address: SocketAddr::from(([127, 0, 0, 1], port)),
         table,
-        list: ListMark::default(),
+        list: ListWatermark::default(),
         link_mbps: 20,
         reaches_store,
         is_same_zone,
@@ -29,9 +29,9 @@
 }
 
 pub(super) fn with_newer_list(mut informant: SyncSource) -> SyncSource {
-    informant.list = ListMark {
+    informant.list = ListWatermark {
         position: 9,
-        changed: 9,
+        last_change: 9,
     };
     informant
 }
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -173,7 +173,7 @@
         availability: node.availability(),
         table: node.routes().map_or(0, |table| table.version),
         table_age_ms: node.table.borrow().age_ms(now_ms),
-        list: node.list_log.borrow().mark(),
+        list: node.list_log.borrow().watermark(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
         store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
         held,
@@ -214,7 +214,7 @@
 {
     let version = node.routes().map_or(0, |table| table.version);
     let newest_at_ms = |age_ms| own_sent_ms.map(|sent_ms| sent_ms.saturating_sub(age_ms));
-    let knows_list = list_sync::hear_mark(
+    let knows_list = list_sync::observe_peer_watermark(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
         &heartbeat.instance,
