--- a/src/relay_server/document_distribution_tests/world.rs
+++ b/src/relay_server/document_distribution_tests/world.rs
@@ -8,8 +8,6 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::ids::InstanceId;
-use super::links::{LinkEvent, Links, Transfer};
 use super::super::list_log::ListWatermark;
 use super::super::peer::SyncSource;
 use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
@@ -17,6 +15,8 @@
 use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, LOOK_MS};
 use super::super::store_readers::READERS_PER_ZONE;
 use super::super::uplink::{Admission, Uplink};
+use super::links::{LinkEvent, Links, Transfer};
+use crate::ids::InstanceId;
 
 /// Silence after which a peer of the own zone is not asked.
 const SILENT_MS: u64 = 800;
--- a/src/relay_server/list_parts.rs
+++ b/src/relay_server/list_parts.rs
@@ -5,13 +5,13 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use crate::fleet::ListedEndpoint;
-use crate::ids::InstanceId;
 use super::list_log::{ListNews, ListWatermark};
 use super::list_sync::ListUpdate;
 use super::peer::SyncSource;
 use super::query::query_pairs;
 use super::snapshot::KnownVersions;
+use crate::fleet::ListedEndpoint;
+use crate::ids::InstanceId;
 
 /// Bytes that an entry takes in an answer; few take more.
 const ENTRY_BYTES: usize = 80;
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
-use crate::fleet::{ListedEndpoint, Phase};
-use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
 use super::list_log::{ListNews, ListWatermark};
 use super::list_parts::{ListParts, ListQuery, ListRest};
 use super::peer_selection_tests::{informant, with_newer_list};
 use super::snapshot::KnownVersions;
+use crate::fleet::{ListedEndpoint, Phase};
+use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
 
 const MARK: ListWatermark = ListWatermark {
     position: 9,
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -3,10 +3,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::{Fleet, FleetChange, InfoSource, ListingRead};
-use crate::ids::InstanceId;
 use super::adapter::FeedRead;
 use super::list_log::{ListLog, ListNews, ListWatermark};
+use crate::fleet::{Fleet, FleetChange, InfoSource, ListingRead};
+use crate::ids::InstanceId;
 
 /// What a peer tells of the list of endpoints.
 #[derive(Debug, Serialize, Deserialize)]
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -5,13 +5,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::fleet::EngineLoad;
-use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
-use crate::relay::RetryAmount;
 use super::heartbeat::{Availability, Echo, Heartbeat};
 use super::list_log::ListWatermark;
 use super::snapshot::KnownVersions;
 use super::store_readers::STALE_MS;
+use crate::fleet::EngineLoad;
+use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
+use crate::relay::RetryAmount;
 
 /// Silence after which a peer is not named to callers any more: two heartbeats may be lost.
 const SILENT_MS: u64 = 800;
--- a/src/relay_server/peer_selection.rs
+++ b/src/relay_server/peer_selection.rs
@@ -4,10 +4,10 @@
 
 use indexmap::IndexMap;
 
-use crate::ids::InstanceId;
 use super::peer::SyncSource;
 use super::snapshot::KnownVersions;
 use super::uplink::UNKNOWN_LINK_MBPS;
+use crate::ids::InstanceId;
 
 /// How long a peer must have had a newer table before it is asked: the own watch of the store brings
 /// a new version within tens of milliseconds of the others'.
--- a/src/relay_server/peer_selection_tests.rs
+++ b/src/relay_server/peer_selection_tests.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use crate::ids::InstanceId;
 use super::list_log::ListWatermark;
 use super::peer::SyncSource;
 use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
 use super::snapshot::KnownVersions;
+use crate::ids::InstanceId;
 
 const KNOWN: KnownVersions = KnownVersions { table: 5, list: 7 };
 const NOW_MS: u64 = 10_000;
