--- a/src/relay_server/adapter.rs
+++ b/src/relay_server/adapter.rs
@@ -15,7 +15,7 @@
 
 /// A page that the instance answers by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OwnPage {
+pub enum LocalPage {
     /// Whether the instance takes callers.
     Ready,
     /// Which addresses a caller should use.
@@ -27,11 +27,11 @@
 
 /// What a request's head says beside host, path and method.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
+pub struct RequestMetadata {
     /// Names the caller's attempt; endpoints echo it.
     pub id: String,
     /// How long the caller will wait.
-    pub patience_ms: Option<u64>,
+    pub timeout_ms: Option<u64>,
     /// Key of the client account.
     pub key: Option<String>,
     /// Last event of the stream that the caller has.
@@ -39,24 +39,24 @@
     /// Tokens of the prompt.
     pub prompt_tokens: Option<u64>,
     /// Most tokens of the answer.
-    pub max_answer_tokens: Option<u64>,
+    pub max_response_tokens: Option<u64>,
     /// The caller's guess of the answer's tokens.
-    pub hinted_answer_tokens: Option<u64>,
+    pub response_tokens_hint: Option<u64>,
 }
 
 /// A request's head that cannot be understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum AskFault {
+pub enum RequestMetadataError {
     /// Its id is missing.
     #[error("the request has no id")]
-    NoId,
+    MissingId,
 }
 
 /// What is set on a request that is sent to an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch<'a> {
     /// How long the caller will still wait.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// The endpoint that is meant; another at its address must turn the request away.
     pub endpoint: &'a EndpointName,
     /// Client account, if the request has one.
@@ -71,7 +71,7 @@
 
 /// What the head of an endpoint's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct ReplyFacts {
+pub struct ResponseMetadata {
     /// The request that is answered, as far as the endpoint says.
     pub id: Option<String>,
     /// Whether the endpoint says that the request did not run.
@@ -138,9 +138,9 @@
     pub is_busy: bool,
     /// Whether it has taken no order since its start: whatever an earlier process ran at its
     /// address is lost.
-    pub is_fresh: bool,
+    pub is_unplaced: bool,
     /// When its process started, in Unix milliseconds, if it says so.
-    pub born_unix_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Factor on its usual time for a step; above 1 it is slow.
     pub slowness: f64,
     /// Requests whose work waits for an engine that does not answer: id and that engine.
@@ -208,20 +208,23 @@
     fn engines(&self) -> &Self::Engines;
 
     /// Which of the instance's own pages a request asks for, if any.
-    fn own_page(&self, path: &str, query: &str) -> Option<OwnPage>;
+    fn match_local_page(&self, path: &str, query: &str) -> Option<LocalPage>;
 
-    /// Body of the answer to [`OwnPage::Locate`].
+    /// Body of the answer to [`LocalPage::Locate`].
     fn locate_body(&self, addresses: &[SocketAddr], lifetime_ms: u64) -> Vec<u8>;
 
     /// Makes a table of routes from the operator's document.
-    fn read_table(&self, document: &str) -> Result<RouteTable, FeedFailure>;
+    fn parse_table(&self, document: &str) -> Result<RouteTable, FeedFailure>;
 
     /// Reads a request's head.
-    fn read_ask(&self, head: &RequestHead) -> Result<Ask, AskFault>;
+    fn parse_request_metadata(
+        &self,
+        head: &RequestHead,
+    ) -> Result<RequestMetadata, RequestMetadataError>;
 
     /// Replaces the headers that the system sets by those of a dispatch.
-    fn set_dispatch(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
+    fn set_dispatch_headers(&self, headers: &mut HeaderMap, dispatch: &Dispatch<'_>);
 
     /// Reads the head of an endpoint's answer.
-    fn read_reply(&self, head: &ResponseHead) -> ReplyFacts;
+    fn parse_response_metadata(&self, head: &ResponseHead) -> ResponseMetadata;
 }
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -77,7 +77,7 @@
 
 /// Compares the lifetime that was asked for with the one that has answered.
 pub(super) fn answering_lifetime(asked: &EndpointId, report: &EngineReport) -> Lifetime {
-    let (Some(asked_ms), Some(born_ms)) = (asked.born_unix_ms(), report.born_unix_ms) else {
+    let (Some(asked_ms), Some(born_ms)) = (asked.born_unix_ms(), report.started_unix_ms) else {
         return Lifetime::Known;
     };
     match born_ms.cmp(&asked_ms) {
@@ -210,9 +210,9 @@
         Finding::Nothing => return,
     };
     match answering_lifetime(id, &report) {
-        Lifetime::Known if !report.is_fresh => {}
+        Lifetime::Known if !report.is_unplaced => {}
         Lifetime::Known | Lifetime::Later => {
-            log::warn!(endpoint = id.as_str(), born_unix_ms = report.born_unix_ms; "engine has started anew");
+            log::warn!(endpoint = id.as_str(), born_unix_ms = report.started_unix_ms; "engine has started anew");
             node.troubled(id, Trouble::Ended);
             return;
         }
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -278,7 +278,7 @@
     if answering_lifetime(endpoint, &report) != Lifetime::Known {
         log::info!(
             endpoint = endpoint.as_str(),
-            born_unix_ms = report.born_unix_ms;
+            born_unix_ms = report.started_unix_ms;
             "engine is not moved: another process answers"
         );
         return Err(OrderFailure::Unknown);
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -44,7 +44,7 @@
             Ok(read) => {
                 store_answered(&node);
                 position = Some(read.position);
-                if take_table(&node, read.content, sent_ms) {
+                if apply_table(&node, read.content, sent_ms) {
                     node.tell_knowledge();
                 }
             }
@@ -86,7 +86,7 @@
 
 /// Takes the table that a call sent at `sent_ms` has read, or that there is no newer one. Returns
 /// whether it is in force now and was not before.
-pub(super) fn take_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
+pub(super) fn apply_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
     let Some(sourced) = read else {
         node.table.borrow_mut().confirm(sent_ms);
         return false;
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -12,7 +12,7 @@
 use futures_util::StreamExt;
 use tokio::time::timeout;
 
-use super::adapter::{Adapter, OwnPage};
+use super::adapter::{Adapter, LocalPage};
 use super::headers;
 use super::node::Node;
 use super::plain::relay_plain;
@@ -66,7 +66,7 @@
 {
     let uri = request.uri();
     let query = uri.query().unwrap_or("");
-    match node.adapter.own_page(uri.path(), query) {
+    match node.adapter.match_local_page(uri.path(), query) {
         Some(page) => own_page(&node, &page),
         None => {
             let open = OpenRequest::begin(&node);
@@ -83,14 +83,14 @@
     Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
 }
 
-fn own_page<A>(node: &Node<A>, page: &OwnPage) -> Response<BoxBody>
+fn own_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
 where
     A: Adapter,
 {
     match page {
-        OwnPage::Ready if node.is_ready() => status_response(node, StatusCode::OK),
-        OwnPage::Ready => status_response(node, StatusCode::SERVICE_UNAVAILABLE),
-        OwnPage::Locate { zone } => {
+        LocalPage::Ready if node.is_ready() => status_response(node, StatusCode::OK),
+        LocalPage::Ready => status_response(node, StatusCode::SERVICE_UNAVAILABLE),
+        LocalPage::Locate { zone } => {
             let zone = zone.as_ref().unwrap_or(&node.settings.zone);
             let own = node.availability();
             let addresses = node.peers.borrow().addresses_for(zone, own, boot_ms());
@@ -188,7 +188,7 @@
     A: Adapter,
 {
     let head = request.head();
-    let ask = match node.adapter.read_ask(head) {
+    let ask = match node.adapter.parse_request_metadata(head) {
         Ok(ask) => ask,
         Err(fault) => {
             log::info!(fault:% = fault; "request is malformed");
@@ -225,7 +225,7 @@
             RefusalCause::NoEndpoint,
         )));
     };
-    let patience_ms = ask.patience_ms.unwrap_or(DEFAULT_PATIENCE_MS);
+    let patience_ms = ask.timeout_ms.unwrap_or(DEFAULT_PATIENCE_MS);
     Ok(RelayedRequest {
         table: Rc::clone(table),
         account: resolved.account.map(|account| account.name.clone()),
--- a/src/relay_server/headers.rs
+++ b/src/relay_server/headers.rs
@@ -35,7 +35,7 @@
 }
 
 /// The headers of a message that are passed on.
-pub(crate) fn passed_on(headers: &HeaderMap) -> HeaderMap {
+pub(crate) fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named = named_by_connection(headers);
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
@@ -51,7 +51,7 @@
     let mut sent = RequestHead::default();
     sent.method = head.method.clone();
     sent.uri = head.uri.clone();
-    sent.headers = passed_on(&head.headers);
+    sent.headers = end_to_end_headers(&head.headers);
     sent
 }
 
--- a/src/relay_server/mod.rs
+++ b/src/relay_server/mod.rs
@@ -79,8 +79,8 @@
 mod withholding;
 
 pub use adapter::{
-    Adapter, Ask, AskFault, DeploymentFeeds, Dispatch, EngineControl, EngineReport, FeedFailure,
-    FeedRead, OrderFailure, OwnPage, ReplyFacts,
+    Adapter, DeploymentFeeds, Dispatch, EngineControl, EngineReport, FeedFailure, FeedRead,
+    LocalPage, OrderFailure, RequestMetadata, RequestMetadataError, ResponseMetadata,
 };
 pub use run::{RelayStartError, run};
 pub use settings::{RelayBounds, RelaySettings};
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -9,7 +9,7 @@
 use bytes::{Bytes, BytesMut};
 use tokio::time::{timeout, timeout_at};
 
-use super::adapter::{Adapter, ReplyFacts};
+use super::adapter::{Adapter, ResponseMetadata};
 use super::headers;
 use super::node::Node;
 use super::request::{RelayedRequest, finish, instant_at, word_response};
@@ -237,7 +237,7 @@
         Ok(answer) => answer,
         Err(failure) => return failed(failure),
     };
-    let facts = node.adapter.read_reply(&head);
+    let facts = node.adapter.parse_response_metadata(&head);
     if facts.id.as_deref() != Some(request.ask.id.as_str()) {
         return failed(UpstreamFailure::Garbled);
     }
@@ -266,14 +266,14 @@
     }
     TryEnd::Answer(WholeAnswer {
         status: head.status,
-        headers: headers::passed_on(&head.headers),
+        headers: headers::end_to_end_headers(&head.headers),
         body: whole.freeze(),
         limit: None,
     })
 }
 
 /// What an answer that cannot be passed on says.
-fn unusable(facts: &ReplyFacts, status: StatusCode) -> Option<TryEnd> {
+fn unusable(facts: &ResponseMetadata, status: StatusCode) -> Option<TryEnd> {
     if facts.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Some(TryEnd::Failed(AttemptEnd::TurnedAway, Trouble::Full));
     }
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -38,7 +38,7 @@
 
 /// Learns at the start what is withheld and the key of the deployment's digests, and draws the key if
 /// there is none. Returns whether the store has answered.
-pub(super) async fn learn<A>(node: &Rc<Node<A>>) -> bool
+pub(super) async fn load<A>(node: &Rc<Node<A>>) -> bool
 where
     A: Adapter,
 {
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -38,7 +38,7 @@
     let mut failures = 0;
     loop {
         // First, since callers may come at any moment.
-        let knows_key = quarantine_rows::learn(&node).await;
+        let knows_key = quarantine_rows::load(&node).await;
         let mut read = None;
         if failures > 0 && !is_written {
             // A write without an answer may have taken effect. Sent again and again, such writes would keep
--- a/src/relay_server/request.rs
+++ b/src/relay_server/request.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::adapter::{Adapter, Ask, Dispatch};
+use super::adapter::{Adapter, Dispatch, RequestMetadata};
 use super::node::Node;
 use crate::clock::boot_ms;
 use crate::fleet::Chain;
@@ -23,7 +23,7 @@
 
 /// A request that the table allows.
 pub(crate) struct RelayedRequest {
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestMetadata,
     pub(crate) table: Rc<RouteTable>,
     pub(crate) route: Route,
     pub(crate) account: Option<AccountId>,
@@ -68,21 +68,22 @@
     {
         let mut head = self.head.clone();
         let dispatch = Dispatch {
-            patience_ms: self.left_ms(boot_ms()),
+            timeout_ms: self.left_ms(boot_ms()),
             endpoint: &endpoint.name(),
             account: self.account.as_ref(),
             priority: self.priority,
             chain,
             resume_after,
         };
-        node.adapter.set_dispatch(&mut head.headers, &dispatch);
+        node.adapter
+            .set_dispatch_headers(&mut head.headers, &dispatch);
         head
     }
 
     /// Tokens that the request will hold in each layer: the prompt and the answer it may bring.
     pub(crate) fn held_tokens(&self) -> u64 {
-        let hint = self.ask.hinted_answer_tokens;
-        let answer = hint.or(self.ask.max_answer_tokens).unwrap_or(0);
+        let hint = self.ask.response_tokens_hint;
+        let answer = hint.or(self.ask.max_response_tokens).unwrap_or(0);
         self.ask.prompt_tokens.unwrap_or(0) + answer
     }
 }
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -101,7 +101,7 @@
 {
     let settings = &node.settings;
     let mut addresses = vec![settings.front];
-    addresses.extend(&settings.own_pages);
+    addresses.extend(&settings.local_page_addresses);
     for address in addresses {
         let listener = listen(address)?;
         actix_rt::spawn(serve(Rc::clone(node), listener, Page::Front));
--- a/src/relay_server/settings.rs
+++ b/src/relay_server/settings.rs
@@ -14,7 +14,7 @@
     /// Where callers connect.
     pub front: SocketAddr,
     /// Where else the instance answers: its own pages.
-    pub own_pages: Vec<SocketAddr>,
+    pub local_page_addresses: Vec<SocketAddr>,
     /// Where counters are read.
     pub metrics: Option<SocketAddr>,
     /// Where datagrams of peers arrive, and where they ask for a snapshot.
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -18,7 +18,7 @@
 use super::adapter::{Adapter, FeedFailure};
 use super::asking::{Asking, Begun, Knowledge, Next, Question};
 use super::document_parts::{DocumentNews, DocumentPart, DocumentParts, DocumentQuery, PartFault};
-use super::feeds::take_table;
+use super::feeds::apply_table;
 use super::list_log::ListNews;
 use super::list_parts::{ListOffer, ListPartFault, ListParts, ListQuery, ListRest};
 use super::list_sync::{self, ListUpdate};
@@ -367,7 +367,7 @@
     let (whole, dropped_bytes) = parts.take(part, sent_ms)?;
     count_wasted(node, dropped_bytes);
     if let Some(whole) = whole {
-        let table = node.adapter.read_table(&whole.content)?;
+        let table = node.adapter.parse_table(&whole.content)?;
         log::info!(
             peer:% = peer.address,
             table = table.version,
@@ -377,7 +377,7 @@
         );
         let source = whole.content;
         let sourced = SourcedTable { table, source };
-        if take_table(node, Some(sourced), whole.newest_at_ms) {
+        if apply_table(node, Some(sourced), whole.newest_at_ms) {
             node.tell_knowledge();
         }
     }
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -237,7 +237,7 @@
             Ok(answer) => answer,
             Err(end) => return end,
         };
-        let facts = self.node.adapter.read_reply(&head);
+        let facts = self.node.adapter.parse_response_metadata(&head);
         if facts.id.as_deref() != Some(self.request.ask.id.as_str()) {
             return self.broken(UpstreamFailure::Garbled, held.chain());
         }
@@ -264,7 +264,7 @@
         if let Some(opening) = self.opening.take() {
             let sent = opening.send(Ok(Opening {
                 status: head.status,
-                headers: headers::passed_on(&head.headers),
+                headers: headers::end_to_end_headers(&head.headers),
                 body: None,
             }));
             if sent.is_err() {
@@ -291,7 +291,7 @@
         }
         Some(Opening {
             status: head.status,
-            headers: headers::passed_on(&head.headers),
+            headers: headers::end_to_end_headers(&head.headers),
             body: Some(whole.freeze()),
         })
     }
--- a/src/relay_server/test_settings.rs
+++ b/src/relay_server/test_settings.rs
@@ -17,7 +17,7 @@
         instance,
         zone,
         front,
-        own_pages: Vec::new(),
+        local_page_addresses: Vec::new(),
         metrics: None,
         peers,
         link_mbps,
