--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum RunStage {
     /// Its answer had a head for so long.
-    Begun {
+    Started {
         /// Milliseconds since the head.
         after_ms: u32,
     },
@@ -27,7 +27,7 @@
     pub(crate) fn of_run(head_ago_ms: Option<u64>) -> Option<Self> {
         match head_ago_ms {
             None => Some(Self::Waiting),
-            Some(ago_ms) if ago_ms < Self::BEGINNING_MS => Some(Self::Begun {
+            Some(ago_ms) if ago_ms < Self::BEGINNING_MS => Some(Self::Started {
                 after_ms: ago_ms as u32,
             }),
             Some(_) => None,
@@ -38,7 +38,7 @@
     /// last, since most that wait never came to run.
     pub(super) fn rank(self) -> u32 {
         match self {
-            Self::Begun { after_ms } => after_ms,
+            Self::Started { after_ms } => after_ms,
             Self::Waiting => u32::MAX,
         }
     }
@@ -46,18 +46,18 @@
 
 /// What became of an endpoint at which a run broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
+pub(crate) enum EndpointLiveness {
     /// Its process has ended.
     Ended,
     /// Something has come from it since: the connection broke, not the process.
-    Lives,
+    Alive,
     /// Not known yet.
     Unknown,
 }
 
 /// One instance's word that a request was beginning to run at an endpoint that ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ToldDeath {
+pub(crate) struct CrashReport {
     pub(crate) digest: RequestDigest,
     pub(crate) endpoint: EndpointId,
     pub(crate) stage: RunStage,
@@ -67,7 +67,7 @@
 
 /// One instance's word that an endpoint went on under a request that is under suspicion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ToldClearance {
+pub(crate) struct ClearanceReport {
     pub(crate) digest: RequestDigest,
     /// Time since that was seen.
     pub(crate) age_ms: u32,
--- a/src/quarantine/false_verdict_tests.rs
+++ b/src/quarantine/false_positive_tests.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::tests::{digest, endpoint};
-use super::{Doubt, Fate, Quarantine, RunStage, ToldEvidence};
+use super::{EndpointLiveness, EvidenceReport, Quarantine, QuarantineStatus, RunStage};
 use crate::ids::EndpointId;
 
 /// One popular request; others come once, with numbers above.
@@ -75,7 +75,7 @@
     /// Until when each endpoint is away, and how often it has ended: its lifetime.
     endpoints: Vec<(u64, usize)>,
     runs: Vec<Run>,
-    told: Vec<(u64, usize, ToldEvidence)>,
+    told: Vec<(u64, usize, EvidenceReport)>,
     next_request: u64,
     crashes: Vec<u64>,
     outcome: Outcome,
@@ -145,8 +145,8 @@
     }
 
     fn send(&mut self, request: u64, instance: usize, runs: u32) {
-        let doubt = self.instances[instance].doubt(&digest(request), self.now_ms);
-        if doubt != Doubt::None {
+        let doubt = self.instances[instance].status(&digest(request), self.now_ms);
+        if doubt != QuarantineStatus::Allowed {
             match request {
                 POPULAR => self.outcome.popular_withheld += 1,
                 CRASHING => {}
@@ -214,10 +214,10 @@
             };
             let id = name(run.at, self.endpoints[run.at].1);
             let own = &mut self.instances[run.instance];
-            own.run_broke_off(digest(run.request), &id, stage, now_ms);
+            own.record_broken_run(digest(run.request), &id, stage, now_ms);
         }
         for own in &mut self.instances {
-            own.settle(now_ms, |_, _| Fate::Ended);
+            own.update(now_ms, |_, _| EndpointLiveness::Ended);
         }
         for at in chosen {
             self.endpoints[*at] = (now_ms + AWAY_MS, self.endpoints[*at].1 + 1);
@@ -237,7 +237,7 @@
             if now_ms % BEAT_MS != phase_ms / STEP_MS * STEP_MS {
                 continue;
             }
-            let told = self.instances[instance].next_told(now_ms);
+            let told = self.instances[instance].next_report(now_ms);
             if !told.is_empty() {
                 let at_ms = now_ms + self.rng.random_range(5..300);
                 self.told.push((at_ms, instance, told));
@@ -247,7 +247,7 @@
         for (_, from, told) in due {
             for (instance, own) in self.instances.iter_mut().enumerate() {
                 if instance != from && !self.rng.random_bool(0.03) {
-                    own.hear(&told, false, now_ms);
+                    own.apply_report(&told, false, now_ms);
                 }
             }
         }
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -6,14 +6,14 @@
 use super::cleared::Cleared;
 use super::pending::{BrokenRun, Pending};
 use super::verdict::{Death, Deaths, ENDS_TO_WITHHOLD, withheld};
-use super::{Fate, RequestDigest, RunStage, ToldClearance, ToldDeath};
+use super::{ClearanceReport, CrashReport, EndpointLiveness, RequestDigest, RunStage};
 use crate::ids::EndpointId;
 use crate::telling::Rotation;
 
 /// How long evidence counts after the newest end under a request. A caller who comes again within it
 /// finds the request still withheld; one wrongly withheld, whose answers are all forgotten, waits no
 /// longer.
-pub(crate) const EVIDENCE_MS: u64 = 600_000;
+pub(crate) const EVIDENCE_TTL_MS: u64 = 600_000;
 /// Requests under suspicion that are remembered.
 const MOST_SUSPECTS: usize = 1_024;
 /// Ends that are remembered of one request.
@@ -28,11 +28,11 @@
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Doubt {
+pub(crate) enum QuarantineStatus {
     /// Nothing speaks against it.
-    None,
+    Allowed,
     /// It will be known within milliseconds whether one endpoint too many has ended under it.
-    Open,
+    Undecided,
     /// It is withheld.
     Withheld,
 }
@@ -55,15 +55,15 @@
 
 /// What is told to peers in one heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct ToldEvidence {
-    pub(crate) deaths: Vec<ToldDeath>,
-    pub(crate) cleared: Vec<ToldClearance>,
+pub(crate) struct EvidenceReport {
+    pub(crate) crashes: Vec<CrashReport>,
+    pub(crate) clearances: Vec<ClearanceReport>,
 }
 
-impl ToldEvidence {
+impl EvidenceReport {
     /// Whether it says nothing, as nearly all heartbeats do.
     pub(crate) fn is_empty(&self) -> bool {
-        self.deaths.is_empty() && self.cleared.is_empty()
+        self.crashes.is_empty() && self.clearances.is_empty()
     }
 }
 
@@ -85,12 +85,12 @@
 
 impl Quarantine {
     /// Whether a request may be sent.
-    pub(crate) fn doubt(&self, digest: &RequestDigest, now_ms: u64) -> Doubt {
+    pub(crate) fn status(&self, digest: &RequestDigest, now_ms: u64) -> QuarantineStatus {
         if self.withheld.contains_key(digest) {
-            return Doubt::Withheld;
+            return QuarantineStatus::Withheld;
         }
         if self.cleared.at_ms(digest).is_some() {
-            return Doubt::None;
+            return QuarantineStatus::Allowed;
         }
         let deaths = self.suspects.get(digest);
         let is_new = |id: &&EndpointId| deaths.is_none_or(|deaths| !deaths.contains_key(*id));
@@ -99,9 +99,9 @@
         // A request that brings nobody down breaks off here and there, too: it is held back only where
         // the open one would decide.
         if open > 0 && known + open >= ENDS_TO_WITHHOLD {
-            Doubt::Open
+            QuarantineStatus::Undecided
         } else {
-            Doubt::None
+            QuarantineStatus::Allowed
         }
     }
 
@@ -112,7 +112,7 @@
 
     /// Takes that a run of a request broke off at an endpoint of which it is not known yet whether it
     /// has ended.
-    pub(crate) fn run_broke_off(
+    pub(crate) fn record_broken_run(
         &mut self,
         digest: RequestDigest,
         endpoint: &EndpointId,
@@ -128,9 +128,9 @@
 
     /// Takes what is known by now of endpoints at which runs broke off. `fate` is asked for an endpoint
     /// and the time at which a run broke off there.
-    pub(crate) fn settle<F>(&mut self, now_ms: u64, fate: F) -> Vec<QuarantineChange>
+    pub(crate) fn update<F>(&mut self, now_ms: u64, fate: F) -> Vec<QuarantineChange>
     where
-        F: Fn(&EndpointId, u64) -> Fate,
+        F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
         let ended = self.pending.settle(now_ms, fate);
         let lapsed = self.drop_lapsed(now_ms);
@@ -161,14 +161,14 @@
     }
 
     /// Takes evidence that a peer tells. What is new is told on if `relays`.
-    pub(crate) fn hear(
+    pub(crate) fn apply_report(
         &mut self,
-        told: &ToldEvidence,
+        told: &EvidenceReport,
         relays: bool,
         now_ms: u64,
     ) -> Vec<QuarantineChange> {
         let mut is_news = false;
-        for word in &told.cleared {
+        for word in &told.clearances {
             let at_ms = now_ms.saturating_sub(u64::from(word.age_ms));
             let is_new = self.cleared.at_ms(&word.digest).is_none();
             self.cleared.note(word.digest, at_ms, now_ms);
@@ -177,9 +177,9 @@
                 self.tell(News::Cleared(word.digest));
             }
         }
-        for told in &told.deaths {
+        for told in &told.crashes {
             let age_ms = u64::from(told.age_ms);
-            if age_ms >= EVIDENCE_MS {
+            if age_ms >= EVIDENCE_TTL_MS {
                 continue;
             }
             if self.cleared.at_ms(&told.digest).is_some() {
@@ -202,14 +202,14 @@
     }
 
     /// Whether there is news that peers should hear at once.
-    pub(crate) fn has_untold_news(&self) -> bool {
+    pub(crate) fn has_unsent_updates(&self) -> bool {
         self.news.values().any(|left| *left == TELLINGS)
     }
 
     /// What the next heartbeat tells: news a few times, then the evidence against withheld requests in
     /// turn.
-    pub(crate) fn next_told(&mut self, now_ms: u64) -> ToldEvidence {
-        let mut told = ToldEvidence::default();
+    pub(crate) fn next_report(&mut self, now_ms: u64) -> EvidenceReport {
+        let mut told = EvidenceReport::default();
         let named: Vec<News> = self.news.keys().take(MOST_NEWS).cloned().collect();
         for news in &named {
             if let Some(left) = self.news.get_mut(news) {
@@ -217,12 +217,12 @@
             }
             match news {
                 News::Death(digest, endpoint) => {
-                    told.deaths
+                    told.crashes
                         .extend(self.told_death(digest, endpoint, now_ms));
                 }
                 News::Cleared(digest) => {
                     let at_ms = self.cleared.at_ms(digest);
-                    told.cleared.extend(at_ms.map(|at_ms| ToldClearance {
+                    told.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
                         digest: *digest,
                         age_ms: age_ms(at_ms, now_ms),
                     }));
@@ -230,11 +230,11 @@
             }
         }
         self.news.retain(|_, left| *left > 0);
-        told.deaths.extend(self.reminders(now_ms));
+        told.crashes.extend(self.reminders(now_ms));
         told
     }
 
-    fn reminders(&mut self, now_ms: u64) -> Vec<ToldDeath> {
+    fn reminders(&mut self, now_ms: u64) -> Vec<CrashReport> {
         let all: Vec<(&RequestDigest, &EndpointId)> = self
             .withheld
             .iter()
@@ -254,9 +254,9 @@
         digest: &RequestDigest,
         endpoint: &EndpointId,
         now_ms: u64,
-    ) -> Option<ToldDeath> {
+    ) -> Option<CrashReport> {
         let death = self.suspects.get(digest)?.get(endpoint)?;
-        Some(ToldDeath {
+        Some(CrashReport {
             digest: *digest,
             endpoint: endpoint.clone(),
             stage: death.stage,
@@ -304,7 +304,7 @@
     fn drop_lapsed(&mut self, now_ms: u64) -> bool {
         let before = self.suspects.len();
         self.suspects
-            .retain(|_, deaths| now_ms < newest_ms(deaths) + EVIDENCE_MS);
+            .retain(|_, deaths| now_ms < newest_ms(deaths) + EVIDENCE_TTL_MS);
         self.suspects.len() < before
     }
 
--- a/src/quarantine/mod.rs
+++ b/src/quarantine/mod.rs
@@ -11,7 +11,7 @@
 mod digest_tests;
 mod evidence;
 #[cfg(test)]
-mod false_verdict_tests;
+mod false_positive_tests;
 mod ledger;
 mod pending;
 #[cfg(test)]
@@ -19,5 +19,7 @@
 mod verdict;
 
 pub use digest::{DigestKey, RequestDigest, RequestParts};
-pub(crate) use evidence::{Fate, RunStage, ToldClearance, ToldDeath};
-pub(crate) use ledger::{Doubt, EVIDENCE_MS, Quarantine, QuarantineChange, ToldEvidence};
+pub(crate) use evidence::{ClearanceReport, CrashReport, EndpointLiveness, RunStage};
+pub(crate) use ledger::{
+    EVIDENCE_TTL_MS, EvidenceReport, Quarantine, QuarantineChange, QuarantineStatus,
+};
--- a/src/quarantine/pending.rs
+++ b/src/quarantine/pending.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use super::{Fate, RequestDigest, RunStage};
+use super::{EndpointLiveness, RequestDigest, RunStage};
 use crate::ids::EndpointId;
 
 /// How long the end of an endpoint is waited for. A refused connection shows it within milliseconds; the
@@ -43,17 +43,17 @@
         fate: F,
     ) -> Vec<(RequestDigest, EndpointId, BrokenRun)>
     where
-        F: Fn(&EndpointId, u64) -> Fate,
+        F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
         let mut ended = Vec::new();
         self.runs
             .retain(|(digest, endpoint), run| match fate(endpoint, run.at_ms) {
-                Fate::Ended => {
+                EndpointLiveness::Ended => {
                     ended.push((*digest, endpoint.clone(), *run));
                     false
                 }
-                Fate::Lives => false,
-                Fate::Unknown => now_ms < run.at_ms + FATE_MS,
+                EndpointLiveness::Alive => false,
+                EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_MS,
             });
         ended
     }
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -2,9 +2,10 @@
 
 use proptest::prelude::*;
 
-use super::ledger::EVIDENCE_MS;
+use super::ledger::EVIDENCE_TTL_MS;
 use super::{
-    Doubt, Fate, Quarantine, QuarantineChange, RequestDigest, RunStage, ToldDeath, ToldEvidence,
+    CrashReport, EndpointLiveness, EvidenceReport, Quarantine, QuarantineChange, QuarantineStatus,
+    RequestDigest, RunStage,
 };
 use crate::ids::EndpointId;
 
@@ -29,14 +30,14 @@
 ) -> Vec<QuarantineChange> {
     for (request, head_ago_ms) in runs {
         if let Some(stage) = RunStage::of_run(*head_ago_ms) {
-            quarantine.run_broke_off(digest(*request), &endpoint(number), stage, now_ms);
+            quarantine.record_broken_run(digest(*request), &endpoint(number), stage, now_ms);
         }
     }
-    quarantine.settle(now_ms, |_, _| Fate::Ended)
+    quarantine.update(now_ms, |_, _| EndpointLiveness::Ended)
 }
 
 fn is_withheld(quarantine: &Quarantine, request: u64, now_ms: u64) -> bool {
-    quarantine.doubt(&digest(request), now_ms) == Doubt::Withheld
+    quarantine.status(&digest(request), now_ms) == QuarantineStatus::Withheld
 }
 
 #[test]
@@ -67,12 +68,12 @@
 fn a_broken_connection_to_an_endpoint_that_lives_counts_for_nothing() {
     let mut quarantine = Quarantine::default();
     for number in 0..9 {
-        let stage = RunStage::Begun { after_ms: 60 };
-        quarantine.run_broke_off(digest(1), &endpoint(number), stage, 10);
-        quarantine.settle(10, |_, _| Fate::Lives);
+        let stage = RunStage::Started { after_ms: 60 };
+        quarantine.record_broken_run(digest(1), &endpoint(number), stage, 10);
+        quarantine.update(10, |_, _| EndpointLiveness::Alive);
     }
-    assert_eq!(quarantine.settle(5_000, |_, _| Fate::Ended), []);
-    assert_eq!(quarantine.doubt(&digest(1), 10), Doubt::None);
+    assert_eq!(quarantine.update(5_000, |_, _| EndpointLiveness::Ended), []);
+    assert_eq!(quarantine.status(&digest(1), 10), QuarantineStatus::Allowed);
 }
 
 // Nearly all that an endpoint has when it ends are streams that run on.
@@ -128,13 +129,13 @@
     for number in 0..3 {
         end(&mut here, number, &[(1, BEGUN)], 10);
     }
-    there.hear(&here.next_told(20), false, 20);
+    there.apply_report(&here.next_report(20), false, 20);
     assert!(is_withheld(&there, 1, 20));
     assert_eq!(
         here.clear(digest(1), 30),
         [QuarantineChange::Free(digest(1))]
     );
-    let changes = there.hear(&here.next_told(40), false, 40);
+    let changes = there.apply_report(&here.next_report(40), false, 40);
     assert_eq!(changes, [QuarantineChange::Free(digest(1))]);
 }
 
@@ -145,8 +146,8 @@
     for number in 0..3 {
         end(&mut there, number, &[(1, BEGUN)], 20);
     }
-    here.hear(&there.next_told(30), false, 30);
-    there.hear(&here.next_told(40), false, 40);
+    here.apply_report(&there.next_report(30), false, 30);
+    there.apply_report(&here.next_report(40), false, 40);
     assert!(!is_withheld(&there, 1, 40));
 }
 
@@ -156,10 +157,10 @@
     for number in 0..3 {
         let mut there = Quarantine::default();
         end(&mut there, number, &[(1, BEGUN)], 10);
-        let told = there.next_told(10);
+        let told = there.next_report(10);
         // A heartbeat may come twice.
-        here.hear(&told, false, 20);
-        here.hear(&told, false, 30);
+        here.apply_report(&told, false, 20);
+        here.apply_report(&told, false, 30);
     }
     assert!(is_withheld(&here, 1, 30));
 }
@@ -167,31 +168,44 @@
 #[test]
 fn evidence_lapses_some_time_after_the_newest_end() {
     let mut quarantine = Quarantine::default();
-    for (number, at_ms) in [(0, 0), (1, EVIDENCE_MS - 1), (2, 2 * EVIDENCE_MS - 2)] {
-        quarantine.settle(at_ms, |_, _| Fate::Ended);
+    for (number, at_ms) in [
+        (0, 0),
+        (1, EVIDENCE_TTL_MS - 1),
+        (2, 2 * EVIDENCE_TTL_MS - 2),
+    ] {
+        quarantine.update(at_ms, |_, _| EndpointLiveness::Ended);
         end(&mut quarantine, number, &[(1, BEGUN)], at_ms);
     }
-    let over_ms = 3 * EVIDENCE_MS - 2;
-    quarantine.settle(over_ms - 1, |_, _| Fate::Ended);
+    let over_ms = 3 * EVIDENCE_TTL_MS - 2;
+    quarantine.update(over_ms - 1, |_, _| EndpointLiveness::Ended);
     assert!(is_withheld(&quarantine, 1, over_ms));
-    let changes = quarantine.settle(over_ms, |_, _| Fate::Ended);
+    let changes = quarantine.update(over_ms, |_, _| EndpointLiveness::Ended);
     assert_eq!(changes, [QuarantineChange::Free(digest(1))]);
 }
 
 #[test]
 fn a_request_is_held_back_until_it_is_known_whether_a_third_endpoint_has_ended() {
     let mut quarantine = Quarantine::default();
-    let stage = RunStage::Begun { after_ms: 60 };
+    let stage = RunStage::Started { after_ms: 60 };
     for number in 0..2 {
-        quarantine.run_broke_off(digest(1), &endpoint(number), stage, 10);
-        assert_eq!(quarantine.doubt(&digest(1), 10), Doubt::None);
-        quarantine.settle(10, |_, _| Fate::Ended);
+        quarantine.record_broken_run(digest(1), &endpoint(number), stage, 10);
+        assert_eq!(quarantine.status(&digest(1), 10), QuarantineStatus::Allowed);
+        quarantine.update(10, |_, _| EndpointLiveness::Ended);
     }
-    quarantine.run_broke_off(digest(1), &endpoint(2), stage, 1_000);
-    assert_eq!(quarantine.doubt(&digest(1), 1_000), Doubt::Open);
-    assert_eq!(quarantine.doubt(&digest(1), 1_149), Doubt::Open);
+    quarantine.record_broken_run(digest(1), &endpoint(2), stage, 1_000);
+    assert_eq!(
+        quarantine.status(&digest(1), 1_000),
+        QuarantineStatus::Undecided
+    );
+    assert_eq!(
+        quarantine.status(&digest(1), 1_149),
+        QuarantineStatus::Undecided
+    );
     // An engine that says nothing may only be slow.
-    assert_eq!(quarantine.doubt(&digest(1), 1_150), Doubt::None);
+    assert_eq!(
+        quarantine.status(&digest(1), 1_150),
+        QuarantineStatus::Allowed
+    );
 }
 
 #[test]
@@ -201,11 +215,11 @@
         end(&mut here, number, &[(1, BEGUN)], 10);
     }
     for _ in 0..20 {
-        here.next_told(20);
+        here.next_report(20);
     }
     let mut there = Quarantine::default();
     for beat in 0..2 {
-        there.hear(&here.next_told(1_000 + beat), false, 1_000 + beat);
+        there.apply_report(&here.next_report(1_000 + beat), false, 1_000 + beat);
     }
     assert!(is_withheld(&there, 1, 1_001));
 }
@@ -214,12 +228,12 @@
 fn what_is_heard_is_told_on_only_by_those_who_relay() {
     let mut there = Quarantine::default();
     end(&mut there, 0, &[(1, BEGUN)], 10);
-    let told = there.next_told(10);
+    let told = there.next_report(10);
     let (mut relay, mut other) = (Quarantine::default(), Quarantine::default());
-    relay.hear(&told, true, 20);
-    other.hear(&told, false, 20);
-    assert_eq!(relay.next_told(30).deaths.len(), 1);
-    assert_eq!(other.next_told(30), ToldEvidence::default());
+    relay.apply_report(&told, true, 20);
+    other.apply_report(&told, false, 20);
+    assert_eq!(relay.next_report(30).crashes.len(), 1);
+    assert_eq!(other.next_report(30), EvidenceReport::default());
 }
 
 // Each request of the flood loses one endpoint: there are never three under any of them.
@@ -235,8 +249,8 @@
     }
     assert!(is_withheld(&quarantine, 1, 20));
     assert_eq!(quarantine.withheld_count(), 1);
-    let told = quarantine.next_told(30);
-    assert!(told.deaths.len() + told.cleared.len() <= 18);
+    let told = quarantine.next_report(30);
+    assert!(told.crashes.len() + told.clearances.len() <= 18);
     let bytes = postcard::to_stdvec(&told).expect("it can be written");
     assert!(bytes.len() < 1_000, "{} bytes", bytes.len());
 }
@@ -248,10 +262,10 @@
         ends in prop::collection::vec((0_u64..4, 0_usize..6, 0_u32..1_200), 1..24),
         order in any::<u64>(),
     ) {
-        let mut deaths: Vec<ToldDeath> = Vec::new();
+        let mut deaths: Vec<CrashReport> = Vec::new();
         for (request, number, after_ms) in ends {
-            let stage = if after_ms < 1_000 { RunStage::Begun { after_ms } } else { RunStage::Waiting };
-            let death = ToldDeath { digest: digest(request), endpoint: endpoint(number), stage, age_ms: 5 };
+            let stage = if after_ms < 1_000 { RunStage::Started { after_ms } } else { RunStage::Waiting };
+            let death = CrashReport { digest: digest(request), endpoint: endpoint(number), stage, age_ms: 5 };
             deaths.push(death);
         }
         let mut shuffled = deaths.clone();
@@ -260,11 +274,11 @@
             let other = order.rotate_left(place as u32) as usize % count;
             shuffled.swap(place, other);
         }
-        let withheld = |deaths: Vec<ToldDeath>| {
+        let withheld = |deaths: Vec<CrashReport>| {
             let mut quarantine = Quarantine::default();
             for death in deaths {
-                let told = ToldEvidence { deaths: vec![death], ..ToldEvidence::default() };
-                quarantine.hear(&told, false, 100);
+                let told = EvidenceReport { crashes: vec![death], ..EvidenceReport::default() };
+                quarantine.apply_report(&told, false, 100);
             }
             (0..4).map(|request| is_withheld(&quarantine, request, 100)).collect::<Vec<bool>>()
         };
--- a/src/relay/refusal.rs
+++ b/src/relay/refusal.rs
@@ -1,6 +1,6 @@
 //! The final word on a request that has no endpoint's answer.
 
-use crate::quarantine::EVIDENCE_MS;
+use crate::quarantine::EVIDENCE_TTL_MS;
 
 /// Time in which a refused request must be asked for again where another instance serves it.
 const ELSEWHERE_MS: u64 = 50;
@@ -80,7 +80,7 @@
             Self::NoTable | Self::OldTable | Self::NoEndpoint => AWAY_MS,
             Self::NoChain => ORDER_MS + outlook.load_ms,
             Self::Full | Self::NoBudget => outlook.run_ms / 2,
-            Self::Withheld => EVIDENCE_MS,
+            Self::Withheld => EVIDENCE_TTL_MS,
             // The next permit is one caller's; by then the places of others are free too.
             Self::RateLimited { wait_ms } => wait_ms.unwrap_or(0).max(outlook.run_ms / 2),
         };
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -178,7 +178,7 @@
     A: Adapter,
 {
     read_finding(node, stage, finding);
-    node.settle_quarantine();
+    node.update_quarantine();
 }
 
 fn read_finding<A>(node: &Node<A>, stage: &ChainStage, finding: Finding)
@@ -189,11 +189,11 @@
     let report = match finding {
         Finding::Sound(report) => report,
         Finding::Ended => {
-            node.troubled(id, Trouble::Ended);
+            node.record_failure(id, Trouble::Ended);
             return;
         }
         Finding::Unanswered(asked_ms, NoAnswer::EngineDead) => {
-            node.unanswered(id, asked_ms);
+            node.record_unanswered(id, asked_ms);
             return;
         }
         Finding::Unanswered(asked_ms, no_answer) => {
@@ -201,7 +201,7 @@
                 endpoint = id.as_str(),
                 shows:? = no_answer,
                 asked_ago_ms = boot_ms().saturating_sub(asked_ms),
-                heard_ago_ms = boot_ms().saturating_sub(node.heard_ms(id));
+                heard_ago_ms = boot_ms().saturating_sub(node.last_heard_ms(id));
                 "engine did not answer; not counted against it"
             );
             node.counters.count("relay.checks.unclear");
@@ -213,7 +213,7 @@
         Lifetime::Known if !report.is_unplaced => {}
         Lifetime::Known | Lifetime::Later => {
             log::warn!(endpoint = id.as_str(), born_unix_ms = report.started_unix_ms; "engine has started anew");
-            node.troubled(id, Trouble::Ended);
+            node.record_failure(id, Trouble::Ended);
             return;
         }
         Lifetime::Earlier => return,
@@ -223,7 +223,7 @@
         // runs what it has begun.
         known.said_layers(report.layers, boot_ms());
     }
-    node.reported_slowness(id, report.slowness);
+    node.record_slowness(id, report.slowness);
     let mut checks = node.checks.borrow_mut();
     let sound = SoundReport {
         at_ms: boot_ms(),
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -60,7 +60,7 @@
         let Some(table) = node.routes() else {
             continue;
         };
-        let heard = node.orders_heard.take();
+        let heard = node.peer_orders.take();
         for (service, spec) in &table.services {
             let Some(model) = &spec.model else {
                 continue;
@@ -206,13 +206,13 @@
         match result {
             // An order without reply may be carried out; it is looked for in the list.
             Ok(()) | Err(OrderFailure::NoReply) => {
-                node.moving(&order);
+                node.record_move(&order);
                 self.placement.given(order, engines, model, boot_ms());
             }
             Err(failure) => {
                 self.placement.refused(&order.endpoint, boot_ms());
                 if *failure == OrderFailure::NoListener {
-                    node.troubled(&order.endpoint, Trouble::Ended);
+                    node.record_failure(&order.endpoint, Trouble::Ended);
                 }
             }
         }
@@ -283,7 +283,7 @@
         );
         return Err(OrderFailure::Unknown);
     }
-    node.reported_slowness(endpoint, report.slowness);
+    node.record_slowness(endpoint, report.slowness);
     let is_crawling = node
         .fleet
         .borrow()
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -45,7 +45,7 @@
                 store_answered(&node);
                 position = Some(read.position);
                 if apply_table(&node, read.content, sent_ms) {
-                    node.tell_knowledge();
+                    node.request_heartbeat();
                 }
             }
             Err(FeedFailure::HistoryGone) => {
@@ -93,7 +93,7 @@
     };
     let version = sourced.table.version;
     let change = node.table.borrow_mut().offer(sourced, sent_ms);
-    node.note_informed();
+    node.update_informed();
     match change {
         TableChange::InForce => {
             log::info!(table = version, read_sent_ms = sent_ms; "table of routes is in force");
@@ -161,10 +161,10 @@
         sent_ms,
         now_ms,
     );
-    node.note_informed();
+    node.update_informed();
     node.fleet_changed(&taken.changes);
     if taken.is_news {
-        node.tell_knowledge();
+        node.request_heartbeat();
     }
 }
 
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -19,7 +19,7 @@
 use super::request::{RelayedRequest, status_response, word_response};
 use super::stream_answer::relay_stream;
 use crate::clock::boot_ms;
-use crate::quarantine::{Doubt, RequestParts};
+use crate::quarantine::{QuarantineStatus, RequestParts};
 use crate::relay::{AttemptLimit, FinalWord, RefusalCause};
 use crate::route_table::{Rejection, Route, RouteTable};
 
@@ -143,7 +143,7 @@
     };
     node.count_request(&relayed.service);
     note_ages(node, arrived_ms);
-    if node.doubt(digest) == Doubt::Withheld {
+    if node.quarantine_status(digest) == QuarantineStatus::Withheld {
         return refuse(
             node,
             &relayed.ask.id,
@@ -294,7 +294,7 @@
 where
     A: Adapter,
 {
-    let outlook = node.outlook(0, 0);
+    let outlook = node.retry_conditions(0, 0);
     let limit = AttemptLimit::from(cause);
     node.count_given_up(limit);
     let table = node.table.borrow();
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -10,7 +10,7 @@
 use super::list_log::ListMark;
 use crate::fleet::{EngineLoad, ToldLimit};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
-use crate::quarantine::ToldEvidence;
+use crate::quarantine::EvidenceReport;
 use crate::relay::{RepeatAmount, RepeatLoan};
 use crate::wire::engine::LayerRange;
 
@@ -58,7 +58,7 @@
     /// Repeats that the sender lacks; told to its own zone.
     pub(super) repeat_needs: Vec<RepeatAmount>,
     /// What is known of requests under which endpoints have ended.
-    pub(super) evidence: ToldEvidence,
+    pub(super) evidence: EvidenceReport,
     /// Limits that endpoints have named to the sender.
     pub(super) limits: Vec<ToldLimit>,
 }
@@ -127,7 +127,7 @@
     /// Repeats that are missing here.
     pub(crate) repeat_needs: Vec<RepeatAmount>,
     /// What others should know of requests under which endpoints have ended.
-    pub(crate) evidence: ToldEvidence,
+    pub(crate) evidence: EvidenceReport,
     /// Limits that endpoints have named to this instance.
     pub(crate) limits: Vec<ToldLimit>,
 }
--- a/src/relay_server/list_spread_tests/instance.rs
+++ b/src/relay_server/list_spread_tests/instance.rs
@@ -10,7 +10,7 @@
 use super::super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::super::list_log::ListLog;
 use super::super::list_sync::{self, ListUpdate};
-use super::super::pacing::share_limits;
+use super::super::pacing::update_limit_shares;
 use super::super::peer::{Informant, InstanceRecord, Recipient};
 use super::super::peer_book::PeerBook;
 use super::super::settings::RelaySettings;
@@ -146,7 +146,7 @@
             ..Pacing::default()
         };
         self.fleet.pacing.hear(id, said, now_ms);
-        share_limits(&mut self.fleet, &self.book, now_ms);
+        update_limit_shares(&mut self.fleet, &self.book, now_ms);
         if self.fleet.pacing.has_untold_news() {
             self.book.tell_knowledge();
         }
@@ -176,7 +176,7 @@
             store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
             held: Vec::new(),
             repeat_needs: Vec::new(),
-            evidence: self.quarantine.next_told(now_ms),
+            evidence: self.quarantine.next_report(now_ms),
             limits: self.fleet.pacing.next_told(now_ms),
         }
     }
@@ -195,7 +195,7 @@
         let own = self.own_state(now_ms);
         let heartbeat = self.book.heartbeat(&own, now_ms);
         self.book.forget_silent(now_ms);
-        share_limits(&mut self.fleet, &self.book, now_ms);
+        update_limit_shares(&mut self.fleet, &self.book, now_ms);
         let recipients = self.book.recipients(own.availability, now_ms);
         (heartbeat, recipients)
     }
@@ -215,11 +215,12 @@
         let peer = &heartbeat.instance;
         let knows_list = list_sync::hear_mark(log, fleet, peer, heartbeat.list, newest_at_ms);
         let relays = self.book.is_among_first(now_ms);
-        self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
+        self.quarantine
+            .apply_report(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
         let mut told = heartbeat.limits.iter();
         if told.any(|it| pacing.hear_told(it, now_ms)) {
-            share_limits(&mut self.fleet, &self.book, now_ms);
+            update_limit_shares(&mut self.fleet, &self.book, now_ms);
         }
         for id in &heartbeat.leaving {
             self.fleet.told_leaving(peer, id, now_ms);
--- a/src/relay_server/list_spread_tests/withheld.rs
+++ b/src/relay_server/list_spread_tests/withheld.rs
@@ -7,7 +7,7 @@
 use super::world::World;
 use super::{LARGE, MIDDLE, SMALL, STEP_MS, Site, seeds, warmed_up};
 use crate::ids::EndpointId;
-use crate::quarantine::{Doubt, RequestDigest};
+use crate::quarantine::{QuarantineStatus, RequestDigest};
 
 /// Variable that asks for more runs.
 const RUNS: &str = "FESCUE_WITHHELD_RUNS";
@@ -88,7 +88,7 @@
         let sends = world.instances.iter().any(|it| {
             let is_calm =
                 matches!(it.process, Process::Runs { since_ms } if now_ms >= since_ms + site.calm_ms);
-            is_calm && it.quarantine.doubt(&digest(), now_ms) != Doubt::Withheld
+            is_calm && it.quarantine.status(&digest(), now_ms) != QuarantineStatus::Withheld
         });
         if sends && now_ms > third_ms {
             late_ms = now_ms - third_ms;
--- a/src/relay_server/list_spread_tests/world.rs
+++ b/src/relay_server/list_spread_tests/world.rs
@@ -18,7 +18,7 @@
 use super::store::{Access, Departure, Store};
 use crate::fleet::{ListedEndpoint, ListingRead};
 use crate::ids::{EndpointId, InstanceId};
-use crate::quarantine::{Fate, RequestDigest, RunStage};
+use crate::quarantine::{EndpointLiveness, RequestDigest, RunStage};
 
 /// As in service: how long a watch waits, what a call may take beside that, and the pauses.
 const WATCH_WAIT_MS: u64 = 1_700;
@@ -176,9 +176,10 @@
     pub(super) fn end_under(&mut self, index: usize, digest: RequestDigest, id: &EndpointId) {
         let now_ms = self.now_ms;
         let own = &mut self.instances[index];
-        let stage = RunStage::Begun { after_ms: 60 };
-        own.quarantine.run_broke_off(digest, id, stage, now_ms);
-        own.quarantine.settle(now_ms, |_, _| Fate::Ended);
+        let stage = RunStage::Started { after_ms: 60 };
+        own.quarantine.record_broken_run(digest, id, stage, now_ms);
+        own.quarantine
+            .update(now_ms, |_, _| EndpointLiveness::Ended);
         own.book.tell_knowledge();
         self.send_news(index);
     }
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -44,13 +44,13 @@
     pub(crate) prompt_answers: RefCell<AnswerBook>,
     pub(crate) peers: RefCell<PeerBook>,
     /// Orders that peers gave to engines, not yet taken up by the duty of this instance.
-    pub(crate) orders_heard: RefCell<Vec<PlaceOrder>>,
+    pub(crate) peer_orders: RefCell<Vec<PlaceOrder>>,
     /// Whether the store answers this instance.
     pub(crate) store: Cell<StoreContact>,
     /// Whether this instance reads the store itself.
     pub(crate) reads_store: watch::Sender<bool>,
     /// Whether the instances' records were read once.
-    pub(crate) are_records_known: Cell<bool>,
+    pub(crate) are_records_loaded: Cell<bool>,
     /// Reads of the endpoint list that others may need.
     pub(crate) list_log: RefCell<ListLog>,
     /// What this instance's link carries for peers.
@@ -62,13 +62,13 @@
     /// Told when there is something that peers must hear at once.
     pub(crate) heartbeat_due: Notify,
     /// Engines that have turned a request away, of which others are to be told.
-    pub(crate) full_news: RefCell<Vec<EndpointId>>,
+    pub(crate) unannounced_full_engines: RefCell<Vec<EndpointId>>,
     /// Told when there are such engines.
-    pub(crate) full_due: Notify,
+    pub(crate) full_engines_notify: Notify,
     /// Told when a peer is heard to know more than this instance.
-    pub(crate) peer_knows_more: Notify,
+    pub(crate) peer_ahead_notify: Notify,
     /// Grows whenever endpoints were found unsound; streams look at their chains then.
-    pub(crate) news: watch::Sender<u64>,
+    pub(crate) chain_check_signal: watch::Sender<u64>,
     /// Key of the deployment's request digests, once the store has told it.
     pub(crate) digest_key: RefCell<Option<DigestKey>>,
     /// Requests under which endpoints have ended.
@@ -99,18 +99,18 @@
             upstreams: Upstreams::new(),
             checks: RefCell::default(),
             prompt_answers: RefCell::default(),
-            orders_heard: RefCell::default(),
+            peer_orders: RefCell::default(),
             store: Cell::default(),
             reads_store: watch::Sender::new(false),
-            are_records_known: Cell::new(false),
+            are_records_loaded: Cell::new(false),
             list_log: RefCell::default(),
             started_ms: boot_ms(),
             informed: watch::Sender::new(false),
             heartbeat_due: Notify::new(),
-            full_news: RefCell::default(),
-            full_due: Notify::new(),
-            peer_knows_more: Notify::new(),
-            news: watch::Sender::new(0),
+            unannounced_full_engines: RefCell::default(),
+            full_engines_notify: Notify::new(),
+            peer_ahead_notify: Notify::new(),
+            chain_check_signal: watch::Sender::new(0),
             digest_key: RefCell::default(),
             quarantine: RefCell::default(),
             stopping_since_ms: Cell::new(None),
@@ -141,7 +141,7 @@
             is_ready: self.is_ready(),
             is_open: self.is_open(),
             reaches_store: self.reads_store() && self.store.get().answers(),
-            is_fed: self.is_fed(),
+            is_fed: self.receives_store_updates(),
         }
     }
 
@@ -151,7 +151,7 @@
     }
 
     /// Whether what the store has reaches this instance soon.
-    pub(crate) fn is_fed(&self) -> bool {
+    pub(crate) fn receives_store_updates(&self) -> bool {
         if self.reads_store() {
             self.store.get().answers()
         } else {
@@ -160,11 +160,11 @@
     }
 
     /// Decides anew whether this instance reads the store.
-    pub(crate) fn look_at_reading(&self, now_ms: u64) {
+    pub(crate) fn update_store_reading(&self, now_ms: u64) {
         let reads = self.reads_store();
         let answered_ms = self.store.get().answered_ms();
         let view = self.peers.borrow().reading_view(reads, answered_ms, now_ms);
-        let waits = !self.are_records_known.get() && view.awaits_records(now_ms);
+        let waits = !self.are_records_loaded.get() && view.awaits_records(now_ms);
         let should_read = view.should_read(now_ms) && !waits;
         if should_read == reads {
             return;
@@ -185,7 +185,7 @@
     }
 
     /// Has peers told at once what this instance has read.
-    pub(crate) fn tell_knowledge(&self) {
+    pub(crate) fn request_heartbeat(&self) {
         self.peers.borrow_mut().tell_knowledge();
         self.heartbeat_due.notify_one();
     }
@@ -203,7 +203,7 @@
     }
 
     /// Takes one repeat out of the budget, if one is left.
-    pub(crate) fn take_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
+    pub(crate) fn take_retry(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         let is_left = budget.take(service, share, purpose, boot_ms());
@@ -216,20 +216,20 @@
     }
 
     /// Puts a repeat back of which nothing arrived anywhere.
-    pub(crate) fn cancel_repeat(&self, service: &ServiceName) {
+    pub(crate) fn cancel_retry(&self, service: &ServiceName) {
         self.counters.count("relay.repeats.cancelled");
         self.budget.borrow_mut().cancel(service);
     }
 
     /// Whether one more repeat is within the budget.
-    pub(crate) fn has_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
+    pub(crate) fn has_retry(&self, service: &ServiceName, purpose: RepeatPurpose) -> bool {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         budget.has_left(service, share, purpose, boot_ms())
     }
 
     /// Repeats left at this instance, for log lines.
-    pub(crate) fn repeats_left(&self, service: &ServiceName) -> u32 {
+    pub(crate) fn retries_left(&self, service: &ServiceName) -> u32 {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         budget.left(service, share, boot_ms())
@@ -243,7 +243,7 @@
 
     /// When one more repeat will be within the budget by the passing of time; not after the present
     /// if one is left now.
-    pub(crate) fn next_repeat_ms(
+    pub(crate) fn next_retry_ms(
         &self,
         service: &ServiceName,
         purpose: RepeatPurpose,
@@ -255,7 +255,7 @@
     }
 
     /// Notes that a repeat is waited for, so that one is asked for of other instances.
-    pub(crate) fn await_repeat(&self, service: &ServiceName, purpose: RepeatPurpose) {
+    pub(crate) fn note_retry_demand(&self, service: &ServiceName, purpose: RepeatPurpose) {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         budget.await_one(service, share, purpose, boot_ms());
@@ -263,7 +263,7 @@
     }
 
     /// What decides when a refused request should be asked for again.
-    pub(crate) fn outlook(&self, load_ms: u64, run_ms: u64) -> Outlook {
+    pub(crate) fn retry_conditions(&self, load_ms: u64, run_ms: u64) -> Outlook {
         Outlook {
             others_serve: self.peers.borrow().others_serve(boot_ms()),
             load_ms,
@@ -278,7 +278,7 @@
     }
 
     /// Notes a trouble at an endpoint, and tells everybody if it is left out from now on.
-    pub(crate) fn troubled(&self, endpoint: &EndpointId, trouble: Trouble) {
+    pub(crate) fn record_failure(&self, endpoint: &EndpointId, trouble: Trouble) {
         let is_out = self
             .fleet
             .borrow_mut()
@@ -289,7 +289,7 @@
     }
 
     /// Notes that an engine has not answered a question of `asked_ms` while the link was free.
-    pub(crate) fn unanswered(&self, endpoint: &EndpointId, asked_ms: u64) {
+    pub(crate) fn record_unanswered(&self, endpoint: &EndpointId, asked_ms: u64) {
         let is_out = self
             .fleet
             .borrow_mut()
@@ -301,7 +301,7 @@
     }
 
     /// When something last came from an endpoint, or over it; 0 if nothing did.
-    pub(crate) fn heard_ms(&self, endpoint: &EndpointId) -> u64 {
+    pub(crate) fn last_heard_ms(&self, endpoint: &EndpointId) -> u64 {
         let fleet = self.fleet.borrow();
         fleet.get(endpoint).map_or(0, |known| known.heard.at_ms())
     }
@@ -329,17 +329,19 @@
     }
 
     /// Notes that an engine turned a request away for want of room. Others are told if that is news.
-    pub(crate) fn was_full(&self, endpoint: &EndpointId) {
+    pub(crate) fn record_full(&self, endpoint: &EndpointId) {
         let mut fleet = self.fleet.borrow_mut();
         let known = fleet.get_mut(endpoint);
         if known.is_some_and(|known| known.standing.was_full(boot_ms())) {
-            self.full_news.borrow_mut().push(endpoint.clone());
-            self.full_due.notify_one();
+            self.unannounced_full_engines
+                .borrow_mut()
+                .push(endpoint.clone());
+            self.full_engines_notify.notify_one();
         }
     }
 
     /// Notes that the engines of a chain take requests.
-    pub(crate) fn took_request(&self, chain: &Chain) {
+    pub(crate) fn record_accepted(&self, chain: &Chain) {
         let mut fleet = self.fleet.borrow_mut();
         for stage in chain.stages() {
             if let Some(known) = fleet.get_mut(&stage.endpoint) {
@@ -350,21 +352,21 @@
 
     /// Notes that an engine was ordered to hold other layers: nothing new is sent to it until it has
     /// them.
-    pub(crate) fn moving(&self, order: &PlaceOrder) {
-        self.heard_moving(order);
+    pub(crate) fn record_move(&self, order: &PlaceOrder) {
+        self.record_peer_move(order);
         self.peers.borrow_mut().tell_moving(order);
         self.wake_streams();
     }
 
     /// Notes that a peer ordered an engine to hold other layers.
-    pub(crate) fn heard_moving(&self, order: &PlaceOrder) {
+    pub(crate) fn record_peer_move(&self, order: &PlaceOrder) {
         if let Some(known) = self.fleet.borrow_mut().get_mut(&order.endpoint) {
             known.said_layers(None, boot_ms());
         }
     }
 
     /// Takes an engine's report of how slow it is.
-    pub(crate) fn reported_slowness(&self, endpoint: &EndpointId, factor: f64) {
+    pub(crate) fn record_slowness(&self, endpoint: &EndpointId, factor: f64) {
         let now_ms = boot_ms();
         let mut fleet = self.fleet.borrow_mut();
         let Some(known) = fleet.get_mut(endpoint) else {
@@ -379,12 +381,12 @@
 
     /// Has running streams look at their chains.
     pub(crate) fn wake_streams(&self) {
-        self.news.send_modify(|count| *count += 1);
+        self.chain_check_signal.send_modify(|count| *count += 1);
     }
 
     /// Whether requests may be sent to an endpoint that was chosen before. Asked last, when there is a
     /// connection: that takes up to 300 ms, and an endpoint that leaves meanwhile is to be left alone.
-    pub(crate) fn takes_requests(&self, endpoint: &EndpointId) -> bool {
+    pub(crate) fn accepts_requests(&self, endpoint: &EndpointId) -> bool {
         let fleet = self.fleet.borrow();
         let known = fleet.get(endpoint);
         known.is_some_and(|known| known.listed.phase == Phase::Live)
@@ -401,7 +403,7 @@
 
     /// The engine that a peer says is unsound, as a stage to be checked: the peer may be cut off
     /// from it while this instance is not.
-    pub(crate) fn told_unsound(&self, endpoint: &EndpointId) -> Option<ChainStage> {
+    pub(crate) fn stage_to_check(&self, endpoint: &EndpointId) -> Option<ChainStage> {
         let fleet = self.fleet.borrow();
         let known = fleet.get(endpoint)?;
         let is_news = !known.standing.is_doubtful();
@@ -411,7 +413,7 @@
     /// Acts on what a read of the endpoint list has changed. Peers are told what the list shows, not
     /// what is made of a lapse: each sees by itself when an entry is back.
     pub(crate) fn fleet_changed(&self, changes: &[FleetChange]) {
-        self.take_changes(changes);
+        self.apply_changes(changes);
         let mut peers = self.peers.borrow_mut();
         for change in changes {
             if let FleetChange::Leaving(id) | FleetChange::Gone(id) = change {
@@ -421,7 +423,7 @@
     }
 
     /// Acts on changes of the endpoint list that concern this instance only, with a line on each.
-    pub(crate) fn take_changes(&self, changes: &[FleetChange]) {
+    pub(crate) fn apply_changes(&self, changes: &[FleetChange]) {
         log_changes(&self.fleet.borrow(), changes, boot_ms());
         for change in changes {
             match change {
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -20,7 +20,7 @@
     A: Adapter,
 {
     /// Takes what an answer of an endpoint says, with a line on what is new. Others are told of a limit.
-    pub(super) fn heard_pacing(&self, endpoint: &EndpointId, said: Pacing) {
+    pub(super) fn apply_pacing(&self, endpoint: &EndpointId, said: Pacing) {
         let now_ms = boot_ms();
         let mut fleet = self.fleet.borrow_mut();
         let changes = fleet.hear_pacing(endpoint, said, now_ms);
@@ -36,14 +36,14 @@
             self.peers.borrow_mut().tell_said_leaving(endpoint);
             self.heartbeat_due.notify_one();
         }
-        self.share_limits(now_ms);
+        self.update_limit_shares(now_ms);
         if has_news {
-            self.tell_knowledge();
+            self.request_heartbeat();
         }
     }
 
     /// Takes limits that a peer has heard.
-    pub(super) fn hear_limits(&self, peer: &InstanceId, limits: &[ToldLimit], now_ms: u64) {
+    pub(super) fn apply_limit_reports(&self, peer: &InstanceId, limits: &[ToldLimit], now_ms: u64) {
         let mut has_changed = false;
         for told in limits {
             let mut fleet = self.fleet.borrow_mut();
@@ -60,17 +60,17 @@
             }
         }
         if has_changed {
-            self.share_limits(now_ms);
+            self.update_limit_shares(now_ms);
         }
     }
 
     /// Decides anew how much of each endpoint's limit is this instance's.
-    pub(super) fn share_limits(&self, now_ms: u64) {
-        share_limits(&mut self.fleet.borrow_mut(), &self.peers.borrow(), now_ms);
+    pub(super) fn update_limit_shares(&self, now_ms: u64) {
+        update_limit_shares(&mut self.fleet.borrow_mut(), &self.peers.borrow(), now_ms);
     }
 
     /// Why nobody can be sent a request for a service now, if it is that endpoints want none.
-    pub(super) fn rate_limited(&self, service: &ServiceName) -> Option<RefusalCause> {
+    pub(super) fn rate_limit_refusal(&self, service: &ServiceName) -> Option<RefusalCause> {
         let now_ms = boot_ms();
         let next_send = self.fleet.borrow().held_off(service, now_ms)?;
         let wait_ms = next_send.at_ms.map(|at_ms| at_ms.saturating_sub(now_ms));
@@ -147,7 +147,7 @@
 }
 
 /// Decides how much of each endpoint's limit is the instance's that has this book of peers.
-pub(super) fn share_limits(fleet: &mut Fleet, peers: &PeerBook, now_ms: u64) {
+pub(super) fn update_limit_shares(fleet: &mut Fleet, peers: &PeerBook, now_ms: u64) {
     if !fleet.pacing.has_limits() {
         return;
     }
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -13,7 +13,7 @@
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::lease::LeaseHolder;
-use crate::quarantine::ToldEvidence;
+use crate::quarantine::EvidenceReport;
 
 pub(super) const READY: Availability = Availability {
     is_ready: true,
@@ -62,7 +62,7 @@
         store_age_ms: availability.reaches_store.then_some(100),
         held: Vec::new(),
         repeat_needs: Vec::new(),
-        evidence: ToldEvidence::default(),
+        evidence: EvidenceReport::default(),
         limits: Vec::new(),
     };
     book.heartbeat(&own, now_ms)
@@ -203,7 +203,7 @@
         store_age_ms: Some(700),
         held: engines.collect(),
         repeat_needs: Vec::new(),
-        evidence: ToldEvidence::default(),
+        evidence: EvidenceReport::default(),
         limits: Vec::new(),
     };
     let beat = a.heartbeat(&own, 500_100);
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -23,7 +23,7 @@
 use super::peer_book::{FarLoads, HEARTBEAT_MS};
 use super::repeat_loans::wants;
 use super::room_notice;
-use super::withholding::FROM_PEERS;
+use super::withholding::SOURCE_PEERS;
 use crate::clock::boot_ms;
 use crate::fleet::{EngineLoad, describe_list};
 use crate::ids::ZoneName;
@@ -41,11 +41,11 @@
     let mut buffer = vec![0; DATAGRAM_LIMIT_BYTES];
     let mut ticks = tokio::time::interval(Duration::from_millis(HEARTBEAT_MS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
-    let mut news = node.news.subscribe();
+    let mut news = node.chain_check_signal.subscribe();
     loop {
         tokio::select! {
             _ = ticks.tick() => {
-                node.look_at_reading(boot_ms());
+                node.update_store_reading(boot_ms());
                 send(&node, &socket).await;
             }
             _ = news.changed() => send_news(&node, &socket).await,
@@ -89,7 +89,7 @@
     let far_loads = node.peers.borrow().far_loads();
     let mut peer_parts = node.answer_needs(wants, now_ms);
     node.fleet.borrow_mut().set_peers_load(&loads);
-    node.share_limits(now_ms);
+    node.update_limit_shares(now_ms);
     let mut shared: IndexMap<&ZoneName, Vec<u8>> = IndexMap::new();
     for recipient in &recipients {
         if !shared.contains_key(&recipient.zone) {
@@ -178,7 +178,7 @@
         store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
         held,
         repeat_needs: node.repeat_needs(now_ms),
-        evidence: node.quarantine.borrow_mut().next_told(now_ms),
+        evidence: node.quarantine.borrow_mut().next_report(now_ms),
         limits,
     }
 }
@@ -222,7 +222,7 @@
         newest_at_ms(heartbeat.list_age_ms),
     );
     if heartbeat.table > version || !knows_list {
-        node.peer_knows_more.notify_one();
+        node.peer_ahead_notify.notify_one();
     }
     if let Some(newest_at_ms) = newest_at_ms(heartbeat.table_age_ms)
         && version == heartbeat.table
@@ -256,10 +256,10 @@
     if let Some(asked_ms) = own_sent_ms.filter(|_| is_newest) {
         node.take_loans(&heartbeat, &peer_part, asked_ms, now_ms);
     }
-    node.hear_evidence(&heartbeat.evidence, FROM_PEERS, now_ms);
-    node.hear_limits(&heartbeat.instance, &heartbeat.limits, now_ms);
+    node.apply_evidence(&heartbeat.evidence, SOURCE_PEERS, now_ms);
+    node.apply_limit_reports(&heartbeat.instance, &heartbeat.limits, now_ms);
     for id in &heartbeat.unsound {
-        if let Some(stage) = node.told_unsound(id) {
+        if let Some(stage) = node.stage_to_check(id) {
             check_beside(node, &stage);
         }
     }
@@ -285,7 +285,7 @@
     drop(fleet);
     for (endpoint, layers) in heartbeat.moving {
         let order = PlaceOrder { endpoint, layers };
-        node.heard_moving(&order);
-        node.orders_heard.borrow_mut().push(order);
+        node.record_peer_move(&order);
+        node.peer_orders.borrow_mut().push(order);
     }
 }
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -18,7 +18,7 @@
 use crate::clock::boot_ms;
 use crate::fleet::{Trouble, pick_replica};
 use crate::ids::EndpointId;
-use crate::quarantine::Doubt;
+use crate::quarantine::QuarantineStatus;
 use crate::relay::{
     AttemptEnd, AttemptLimit, Attempts, FinalWord, GivenUp, NextStep, RefusalCause, RepeatPurpose,
 };
@@ -67,7 +67,7 @@
         route = request.route.name.as_str(),
         word = word.name(),
         limit = limit.name(),
-        repeats_left = node.repeats_left(&request.service),
+        repeats_left = node.retries_left(&request.service),
         sends = attempts.sends(),
         turned_away = attempts.turned_away(),
         known_at_send = sent.endpoints.as_str(),
@@ -92,7 +92,7 @@
     let mut cause = RefusalCause::NoEndpoint;
     let mut held: Option<WholeAnswer> = None;
     loop {
-        if node.doubt(request.digest) == Doubt::Withheld {
+        if node.quarantine_status(request.digest) == QuarantineStatus::Withheld {
             return answer_or(held, attempts.give_up(RefusalCause::Withheld));
         }
         let picked = pick_replica(
@@ -103,7 +103,7 @@
             boot_ms(),
         );
         let Some(endpoint) = picked else {
-            let cause = node.rate_limited(&request.service).unwrap_or(cause);
+            let cause = node.rate_limit_refusal(&request.service).unwrap_or(cause);
             return answer_or(held, attempts.give_up(cause));
         };
         attempts.sending(&endpoint);
@@ -130,19 +130,19 @@
             "attempt failed"
         );
         attempts.exclude(&endpoint);
-        node.troubled(&endpoint, trouble);
+        node.record_failure(&endpoint, trouble);
         if trouble == Trouble::Broken {
-            node.run_broke_off(request.digest, &endpoint, None);
+            node.record_broken_run(request.digest, &endpoint, None);
             find_out_beside(node, &endpoint);
         }
         if end == AttemptEnd::TurnedAway {
             cause = RefusalCause::Full;
         }
         if attempts.gives_back(end) {
-            node.cancel_repeat(&request.service);
+            node.cancel_retry(&request.service);
         }
         match attempts.ended(end, || {
-            node.take_repeat(&request.service, RepeatPurpose::Begin)
+            node.take_retry(&request.service, RepeatPurpose::Begin)
         }) {
             NextStep::TryAgain => {}
             NextStep::PassOn(limit) => {
@@ -174,12 +174,12 @@
                     known.heard.note(boot_ms());
                 }
             }
-            Err(UpstreamFailure::NoListener) => node.troubled(&endpoint, Trouble::Ended),
+            Err(UpstreamFailure::NoListener) => node.record_failure(&endpoint, Trouble::Ended),
             Err(failure) => {
                 log::debug!(endpoint = endpoint.as_str(), failure:% = failure; "whether a replica has ended is not known");
             }
         }
-        node.settle_quarantine();
+        node.update_quarantine();
     });
 }
 
@@ -226,7 +226,7 @@
     let head = request.head_for(node, endpoint, None, None);
     let sent = node
         .send_with_permit(endpoint, address, head, request.body.clone(), || {
-            node.takes_requests(endpoint)
+            node.accepts_requests(endpoint)
         })
         .await;
     let exchange = match sent {
@@ -241,7 +241,7 @@
     if facts.id.as_deref() != Some(request.ask.id.as_str()) {
         return failed(UpstreamFailure::Garbled);
     }
-    node.heard_pacing(endpoint, facts.pacing);
+    node.apply_pacing(endpoint, facts.pacing);
     let mut whole = BytesMut::new();
     loop {
         match body.next().await {
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -13,7 +13,7 @@
 use crate::clock::{boot_ms, unix_ms};
 use crate::ids::EndpointId;
 use crate::quarantine::{
-    DigestKey, QuarantineChange, RequestDigest, RunStage, ToldDeath, ToldEvidence,
+    CrashReport, DigestKey, EvidenceReport, QuarantineChange, RequestDigest, RunStage,
 };
 use crate::wire::platform::{Condition, Row, ScanRows, TransactReply, Transaction, Write};
 
@@ -72,12 +72,12 @@
         limit: ROWS_LIMIT,
     };
     let found = node.adapter.store().scan(&ask, REGISTER_TIMEOUT_MS).await?;
-    let deaths: Vec<ToldDeath> = found.rows.iter().flat_map(deaths_in).collect();
-    let told = ToldEvidence {
-        deaths,
-        ..ToldEvidence::default()
+    let deaths: Vec<CrashReport> = found.rows.iter().flat_map(deaths_in).collect();
+    let told = EvidenceReport {
+        crashes: deaths,
+        ..EvidenceReport::default()
     };
-    node.hear_evidence(&told, FROM_STORE, boot_ms());
+    node.apply_evidence(&told, FROM_STORE, boot_ms());
     match found.rows.iter().find(|row| row.key == KEY_ROW) {
         Some(row) => Ok(key_in(row)),
         None => write_key(node).await,
@@ -112,7 +112,7 @@
 }
 
 /// The evidence in a withheld request's row; none in other rows.
-fn deaths_in(row: &Row) -> Vec<ToldDeath> {
+fn deaths_in(row: &Row) -> Vec<CrashReport> {
     let Some(digest) = row.key.strip_prefix(WITHHELD_PREFIX) else {
         return Vec::new();
     };
@@ -123,10 +123,10 @@
     };
     let age_ms = unix_ms().saturating_sub(withheld.withheld_unix_ms);
     let age_ms = u32::try_from(age_ms).unwrap_or(u32::MAX);
-    let of_endpoint = |endpoint| ToldDeath {
+    let of_endpoint = |endpoint| CrashReport {
         digest,
         endpoint,
-        stage: RunStage::Begun { after_ms: 0 },
+        stage: RunStage::Started { after_ms: 0 },
         age_ms,
     };
     withheld.endpoints.into_iter().map(of_endpoint).collect()
--- a/src/relay_server/questions.rs
+++ b/src/relay_server/questions.rs
@@ -154,7 +154,7 @@
 where
     A: Adapter,
 {
-    let heard_ms = node.heard_ms(id);
+    let heard_ms = node.last_heard_ms(id);
     node.prompt_answers.borrow_mut().judge(asked_ms, heard_ms)
 }
 
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -52,8 +52,8 @@
         }
         if let Some(own) = read {
             is_written |= own == OwnRecord::IsThere;
-            node.are_records_known.set(true);
-            node.look_at_reading(boot_ms());
+            node.are_records_loaded.set(true);
+            node.update_store_reading(boot_ms());
         }
         let is_done = is_written && read.is_some() && knows_key;
         failures = if is_done { 0 } else { failures + 1 };
--- a/src/relay_server/request.rs
+++ b/src/relay_server/request.rs
@@ -101,9 +101,9 @@
                 let layers = node.fleet.borrow().mean_layers(&self.service);
                 let share = layers / f64::from(model.layers.max(1));
                 let load_ms = (model.load_ms as f64 * share) as u64;
-                node.outlook(load_ms, node.run_times.borrow().mean_ms(&self.service))
+                node.retry_conditions(load_ms, node.run_times.borrow().mean_ms(&self.service))
             }
-            None => node.outlook(0, self.route.objective_ms),
+            None => node.retry_conditions(0, self.route.objective_ms),
         }
     }
 }
--- a/src/relay_server/room_notice.rs
+++ b/src/relay_server/room_notice.rs
@@ -53,7 +53,7 @@
     A: Adapter,
 {
     loop {
-        node.full_due.notified().await;
+        node.full_engines_notify.notified().await;
         send(&node, &socket).await;
         sleep(Duration::from_millis(PAUSE_MS)).await;
     }
@@ -63,7 +63,7 @@
 where
     A: Adapter,
 {
-    let mut full = node.full_news.take();
+    let mut full = node.unannounced_full_engines.take();
     full.truncate(MOST_ENGINES);
     if full.is_empty() {
         return;
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -210,8 +210,8 @@
         node.upstreams.sweep(now_ms);
         node.checks.borrow_mut().sweep(now_ms);
         let changes = node.fleet.borrow_mut().settle(now_ms);
-        node.take_changes(&changes);
-        node.settle_quarantine();
+        node.apply_changes(&changes);
+        node.update_quarantine();
         checks::check_paused(&node).await;
     }
 }
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -228,7 +228,7 @@
         };
         tokio::select! {
             () = sleep(Duration::from_millis(pause_ms)) => {}
-            () = node.peer_knows_more.notified() => {}
+            () = node.peer_ahead_notify.notified() => {}
         }
     }
 }
@@ -252,7 +252,7 @@
     let knowledge = Knowledge {
         behind_since_ms: asking.note_behind(&informants, known, now_ms),
         reads_store: node.reads_store(),
-        is_fed: node.is_fed(),
+        is_fed: node.receives_store_updates(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
     let draw = node.draw();
@@ -378,7 +378,7 @@
         let source = whole.content;
         let sourced = SourcedTable { table, source };
         if apply_table(node, Some(sourced), whole.newest_at_ms) {
-            node.tell_knowledge();
+            node.request_heartbeat();
         }
     }
     Ok(())
@@ -402,7 +402,7 @@
         newest_at_ms,
         boot_ms(),
     );
-    node.note_informed();
+    node.update_informed();
     // Peers are not told: they know it better.
-    node.take_changes(&changes);
+    node.apply_changes(&changes);
 }
--- a/src/relay_server/start_wait.rs
+++ b/src/relay_server/start_wait.rs
@@ -20,7 +20,7 @@
     }
 
     /// Wakes requests that wait for the routes and the endpoints, once both are known.
-    pub(crate) fn note_informed(&self) {
+    pub(crate) fn update_informed(&self) {
         if !*self.informed.borrow() && self.is_informed() {
             self.informed.send_replace(true);
         }
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -201,11 +201,11 @@
             let service = &self.request.service;
             let purpose = self.repeat_purpose();
             if self.attempts.gives_back(end) {
-                node.cancel_repeat(service);
+                node.cancel_retry(service);
             }
             match self
                 .attempts
-                .ended(end, || node.take_repeat(service, purpose))
+                .ended(end, || node.take_retry(service, purpose))
             {
                 NextStep::TryAgain | NextStep::GoOn => {}
                 NextStep::PassOn(limit) => {
@@ -242,7 +242,7 @@
             return self.broken(UpstreamFailure::Garbled, held.chain());
         }
         let first = &held.chain().first().endpoint;
-        self.node.heard_pacing(first, facts.pacing);
+        self.node.apply_pacing(first, facts.pacing);
         if facts.not_run || head.status == StatusCode::MISDIRECTED_REQUEST {
             let at_fault = facts
                 .at_fault
@@ -259,7 +259,7 @@
             return RunEnd::Failed(AttemptEnd::Failed, Trouble::Failed, first);
         }
         self.head_ms = Some(boot_ms());
-        self.node.took_request(held.chain());
+        self.node.record_accepted(held.chain());
         self.attempts.answer_begins();
         if let Some(opening) = self.opening.take() {
             let sent = opening.send(Ok(Opening {
@@ -306,7 +306,7 @@
         let node = &self.node;
         let may_send = || {
             let mut stages = chain.stages().iter();
-            stages.all(|stage| node.takes_requests(&stage.endpoint))
+            stages.all(|stage| node.accepts_requests(&stage.endpoint))
         };
         node.send_with_permit(&first.endpoint, first.address, head, body, may_send)
             .await
@@ -318,7 +318,7 @@
         exchange: Exchange,
         held: &mut HeldTokens<A>,
     ) -> Result<(ResponseHead, AnswerBody), RunEnd> {
-        let mut news = self.node.news.subscribe();
+        let mut news = self.node.chain_check_signal.subscribe();
         let mut head = std::pin::pin!(exchange.head());
         loop {
             let due = self.next_look(boot_ms());
@@ -341,7 +341,7 @@
         keep_alive_ms: Option<u64>,
         held: &mut HeldTokens<A>,
     ) -> RunEnd {
-        let mut news = self.node.news.subscribe();
+        let mut news = self.node.chain_check_signal.subscribe();
         loop {
             let due = self.next_look(boot_ms());
             let step = tokio::select! {
@@ -411,7 +411,7 @@
     }
 
     fn note_full(&self, endpoint: &EndpointId) {
-        self.node.was_full(endpoint);
+        self.node.record_full(endpoint);
     }
 
     /// What another run would be for.
@@ -434,7 +434,7 @@
     fn broken(&self, failure: UpstreamFailure, chain: &Chain) -> RunEnd {
         let first = chain.first().endpoint.clone();
         match failure {
-            UpstreamFailure::NoListener => self.node.troubled(&first, Trouble::Ended),
+            UpstreamFailure::NoListener => self.node.record_failure(&first, Trouble::Ended),
             UpstreamFailure::NoConnection | UpstreamFailure::Broken => {
                 check_beside(&self.node, chain.first());
             }
--- a/src/relay_server/stream/ending.rs
+++ b/src/relay_server/stream/ending.rs
@@ -72,7 +72,7 @@
             chain = chain.as_deref().unwrap_or(""),
             outcome,
             limit = limit.map(AttemptLimit::name),
-            repeats_left = self.node.repeats_left(&self.request.service),
+            repeats_left = self.node.retries_left(&self.request.service),
             sends = self.attempts.sends(),
             turned_away = self.attempts.turned_away(),
             known_at_send = self.sent.endpoints.as_str(),
--- a/src/relay_server/stream/go_on.rs
+++ b/src/relay_server/stream/go_on.rs
@@ -20,7 +20,7 @@
     /// as late as it must: the request's time and the caller's patience end the wait from outside. Fails
     /// only where the request is withheld.
     pub(super) async fn chain_to_go_on(&mut self) -> Result<Chain, RefusalCause> {
-        let mut news = self.node.news.subscribe();
+        let mut news = self.node.chain_check_signal.subscribe();
         let mut waits_for = None;
         let mut ask_due_ms = 0;
         loop {
@@ -49,7 +49,7 @@
     /// Has other instances lend a repeat: without it they would only hear of those that were refused.
     fn ask_zone(&self) {
         let service = &self.request.service;
-        self.node.await_repeat(service, RepeatPurpose::GoOn);
+        self.node.note_retry_demand(service, RepeatPurpose::GoOn);
     }
 
     fn next_run(&mut self, now_ms: u64) -> Result<Chain, Lack> {
@@ -57,7 +57,7 @@
         // First, since it costs least to find out.
         let due_ms = self
             .node
-            .next_repeat_ms(service, RepeatPurpose::GoOn, now_ms);
+            .next_retry_ms(service, RepeatPurpose::GoOn, now_ms);
         if due_ms > now_ms {
             return Err(Lack::Repeat { due_ms });
         }
@@ -70,7 +70,7 @@
             return Err(Lack::Room { until_ms });
         }
         // Taken at the send and not before: what is taken early would leave the window early too.
-        if !self.node.take_repeat(service, RepeatPurpose::GoOn) {
+        if !self.node.take_retry(service, RepeatPurpose::GoOn) {
             return Err(Lack::Repeat { due_ms: now_ms });
         }
         self.attempts.takes_repeat();
--- a/src/relay_server/stream/plan.rs
+++ b/src/relay_server/stream/plan.rs
@@ -50,7 +50,7 @@
     }
 
     fn why_no_chain(&self) -> RefusalCause {
-        let rate_limited = self.node.rate_limited(&self.request.service);
+        let rate_limited = self.node.rate_limit_refusal(&self.request.service);
         match rate_limited.filter(|_| self.layer_without_holder().is_none()) {
             Some(cause) => cause,
             None if self.attempts.excluded().is_empty() => RefusalCause::NoChain,
--- a/src/relay_server/stream/repair.rs
+++ b/src/relay_server/stream/repair.rs
@@ -121,10 +121,10 @@
         }
         let service = &self.request.service;
         let purpose = self.repeat_purpose();
-        let is_left = self.node.has_repeat(service, purpose);
+        let is_left = self.node.has_retry(service, purpose);
         if !is_left {
             // The present run may have ended: others are asked for a repeat while it is waited for.
-            self.node.await_repeat(service, purpose);
+            self.node.note_retry_demand(service, purpose);
         }
         is_left
     }
--- a/src/relay_server/stream/withheld.rs
+++ b/src/relay_server/stream/withheld.rs
@@ -7,7 +7,7 @@
 use super::StreamRelay;
 use crate::clock::boot_ms;
 use crate::ids::EndpointId;
-use crate::quarantine::Doubt;
+use crate::quarantine::QuarantineStatus;
 use crate::relay::{AttemptEnd, RefusalCause};
 use crate::relay_server::adapter::Adapter;
 
@@ -21,22 +21,22 @@
 {
     /// Fails if the request is withheld.
     pub(super) fn check_withheld(&self) -> Result<(), RefusalCause> {
-        match self.node.doubt(self.request.digest) {
-            Doubt::Withheld => Err(RefusalCause::Withheld),
-            Doubt::None | Doubt::Open => Ok(()),
+        match self.node.quarantine_status(self.request.digest) {
+            QuarantineStatus::Withheld => Err(RefusalCause::Withheld),
+            QuarantineStatus::Allowed | QuarantineStatus::Undecided => Ok(()),
         }
     }
 
     /// Waits until it is known whether the engine at which the last run broke off has ended, if that
     /// decides whether the request is withheld: one more engine would be lost otherwise.
     pub(super) async fn wait_for_verdict(&mut self) -> Result<(), RefusalCause> {
-        while self.node.doubt(self.request.digest) == Doubt::Open {
+        while self.node.quarantine_status(self.request.digest) == QuarantineStatus::Undecided {
             sleep(Duration::from_millis(VERDICT_LOOK_MS)).await;
         }
         let checked = self.check_withheld();
         // The repeat that was taken for the run that is not to be.
         if checked.is_err() && self.attempts.gives_back(AttemptEnd::NotSent) {
-            self.node.cancel_repeat(&self.request.service);
+            self.node.cancel_retry(&self.request.service);
         }
         checked
     }
@@ -48,7 +48,7 @@
         for stage in ended {
             let head_ago_ms = self.head_ago_ms(boot_ms());
             let digest = self.request.digest;
-            self.node.run_broke_off(digest, stage, head_ago_ms);
+            self.node.record_broken_run(digest, stage, head_ago_ms);
         }
     }
 
@@ -57,7 +57,7 @@
         if end == AttemptEnd::Lost {
             let head_ago_ms = self.head_ago_ms(boot_ms());
             let digest = self.request.digest;
-            self.node.run_broke_off(digest, at_fault, head_ago_ms);
+            self.node.record_broken_run(digest, at_fault, head_ago_ms);
         }
     }
 }
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -9,12 +9,14 @@
 use crate::clock::boot_ms;
 use crate::fleet::{Fleet, Phase};
 use crate::ids::EndpointId;
-use crate::quarantine::{Doubt, Fate, QuarantineChange, RequestDigest, RunStage, ToldEvidence};
+use crate::quarantine::{
+    EndpointLiveness, EvidenceReport, QuarantineChange, QuarantineStatus, RequestDigest, RunStage,
+};
 
 /// Evidence that rows of the store have told.
 pub(super) const FROM_STORE: &str = "store";
 /// Evidence that peers have told.
-pub(super) const FROM_PEERS: &str = "peers";
+pub(super) const SOURCE_PEERS: &str = "peers";
 /// Evidence of runs of this instance.
 const FROM_OWN_RUNS: &str = "own runs";
 /// What was under way from an endpoint when a connection to it broke may be read so much later.
@@ -25,13 +27,15 @@
     A: Adapter,
 {
     /// Whether a request may be sent to endpoints. One without a digest always may.
-    pub(crate) fn doubt(&self, digest: Option<RequestDigest>) -> Doubt {
+    pub(crate) fn quarantine_status(&self, digest: Option<RequestDigest>) -> QuarantineStatus {
         let quarantine = self.quarantine.borrow();
-        digest.map_or(Doubt::None, |it| quarantine.doubt(&it, boot_ms()))
+        digest.map_or(QuarantineStatus::Allowed, |it| {
+            quarantine.status(&it, boot_ms())
+        })
     }
 
     /// Notes that a run of a request broke off at an endpoint, so long after the head of its answer.
-    pub(crate) fn run_broke_off(
+    pub(crate) fn record_broken_run(
         self: &Rc<Self>,
         digest: Option<RequestDigest>,
         endpoint: &EndpointId,
@@ -42,14 +46,14 @@
         };
         // One that leaves ends as planned, whatever runs there.
         let has_ended = self.fleet.borrow().has_ended(endpoint);
-        if !has_ended && !self.takes_requests(endpoint) {
+        if !has_ended && !self.accepts_requests(endpoint) {
             return;
         }
         let now_ms = boot_ms();
         self.quarantine
             .borrow_mut()
-            .run_broke_off(digest, endpoint, stage, now_ms);
-        self.settle_quarantine();
+            .record_broken_run(digest, endpoint, stage, now_ms);
+        self.update_quarantine();
     }
 
     /// Notes that an endpoint went on under a request: it was answered whole, or a run of it is past its
@@ -61,9 +65,9 @@
     }
 
     /// Takes what peers, or rows of the store, tell of requests under suspicion.
-    pub(crate) fn hear_evidence(
+    pub(crate) fn apply_evidence(
         self: &Rc<Self>,
-        told: &ToldEvidence,
+        told: &EvidenceReport,
         source: &'static str,
         now_ms: u64,
     ) {
@@ -73,21 +77,24 @@
         }
         // The first of a zone reach all others within two periods, and so carry on what they hear.
         let relays = self.peers.borrow().is_among_first(now_ms);
-        let changes = self.quarantine.borrow_mut().hear(told, relays, now_ms);
+        let changes = self
+            .quarantine
+            .borrow_mut()
+            .apply_report(told, relays, now_ms);
         self.take_quarantine_changes(&changes, source);
     }
 
     /// Looks what has become of endpoints at which runs broke off.
-    pub(crate) fn settle_quarantine(self: &Rc<Self>) {
+    pub(crate) fn update_quarantine(self: &Rc<Self>) {
         let now_ms = boot_ms();
         let (changes, has_news) = {
             let fleet = self.fleet.borrow();
             let mut quarantine = self.quarantine.borrow_mut();
-            let changes = quarantine.settle(now_ms, |id, broke_ms| fate(&fleet, id, broke_ms));
-            (changes, quarantine.has_untold_news())
+            let changes = quarantine.update(now_ms, |id, broke_ms| fate(&fleet, id, broke_ms));
+            (changes, quarantine.has_unsent_updates())
         };
         if has_news {
-            self.tell_knowledge();
+            self.request_heartbeat();
         }
         self.take_quarantine_changes(&changes, FROM_OWN_RUNS);
     }
@@ -126,15 +133,15 @@
 }
 
 /// What has become of an endpoint since a run broke off there.
-fn fate(fleet: &Fleet, id: &EndpointId, broke_ms: u64) -> Fate {
+fn fate(fleet: &Fleet, id: &EndpointId, broke_ms: u64) -> EndpointLiveness {
     if fleet.has_ended(id) {
-        return Fate::Ended;
+        return EndpointLiveness::Ended;
     }
     match fleet.get(id) {
         // It was in service when the run broke off, and neither drained nor answered since.
-        None => Fate::Ended,
-        Some(known) if known.listed.phase == Phase::Leaving => Fate::Ended,
-        Some(known) if known.heard.at_ms() > broke_ms + UNDER_WAY_MS => Fate::Lives,
-        Some(_) => Fate::Unknown,
+        None => EndpointLiveness::Ended,
+        Some(known) if known.listed.phase == Phase::Leaving => EndpointLiveness::Ended,
+        Some(known) if known.heard.at_ms() > broke_ms + UNDER_WAY_MS => EndpointLiveness::Alive,
+        Some(_) => EndpointLiveness::Unknown,
     }
 }
