--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -60,7 +60,7 @@
         let Some(table) = node.routes() else {
             continue;
         };
-        let heard = node.orders_heard.take();
+        let heard = node.peer_orders.take();
         for (service, spec) in &table.services {
             let Some(model) = &spec.model else {
                 continue;
@@ -212,13 +212,13 @@
         match result {
             // An order without reply may be carried out; it is looked for in the list.
             Ok(()) | Err(OrderFailure::NoReply) => {
-                node.moving(&order);
+                node.record_move(&order);
                 self.placement.order_sent(order, engines, model, boot_ms());
             }
             Err(failure) => {
                 self.placement.order_refused(&order.endpoint, boot_ms());
                 if *failure == OrderFailure::NoListener {
-                    node.troubled(&order.endpoint, EndpointFailure::Ended);
+                    node.record_failure(&order.endpoint, EndpointFailure::Ended);
                 }
             }
         }
@@ -288,12 +288,12 @@
     if answering_lifetime(endpoint, &report) != AnsweringLifetime::Current {
         log::info!(
             endpoint = endpoint.as_str(),
-            born_unix_ms = report.born_unix_ms;
+            born_unix_ms = report.started_unix_ms;
             "engine is not moved: another process answers"
         );
         return Err(OrderFailure::Unknown);
     }
-    node.reported_slowness(endpoint, report.slowness);
+    node.record_slowness(endpoint, report.slowness);
     let is_very_slow = node
         .fleet
         .borrow()
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -44,8 +44,8 @@
             Ok(read) => {
                 store_answered(&node);
                 position = Some(read.position);
-                if take_table(&node, read.content, sent_ms) {
-                    node.tell_knowledge();
+                if apply_table(&node, read.content, sent_ms) {
+                    node.request_heartbeat();
                 }
             }
             Err(FeedFailure::HistoryGone) => {
@@ -86,14 +86,14 @@
 
 /// Takes the table that a call sent at `sent_ms` has read, or that there is no newer one. Returns
 /// whether it is in force now and was not before.
-pub(super) fn take_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
+pub(super) fn apply_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
     let Some(sourced) = read else {
         node.table.borrow_mut().confirm(sent_ms);
         return false;
     };
     let version = sourced.table.version;
     let change = node.table.borrow_mut().offer(sourced, sent_ms);
-    node.note_informed();
+    node.update_informed();
     match change {
         TableChange::InForce => {
             log::info!(table = version, read_sent_ms = sent_ms; "table of routes is in force");
@@ -161,10 +161,10 @@
         sent_ms,
         now_ms,
     );
-    node.note_informed();
+    node.update_informed();
     node.fleet_changed(&applied.changes);
     if applied.must_notify_peers {
-        node.tell_knowledge();
+        node.request_heartbeat();
     }
 }
 
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::list_log::ListWatermark;
 use crate::fleet::{EngineLoad, LimitReport};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
-use crate::quarantine::ToldEvidence;
+use crate::quarantine::EvidenceReport;
 use crate::relay::{RetryAmount, RetryLoan};
 use crate::wire::engine::LayerRange;
+use super::list_log::ListWatermark;
 
 /// What an instance tells the others of itself and of the endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -58,7 +58,7 @@
     /// Repeats that the sender lacks; told to its own zone.
     pub(super) retry_needs: Vec<RetryAmount>,
     /// What is known of requests under which endpoints have ended.
-    pub(super) evidence: ToldEvidence,
+    pub(super) evidence: EvidenceReport,
     /// Limits that endpoints have named to the sender.
     pub(super) limits: Vec<LimitReport>,
 }
@@ -127,7 +127,7 @@
     /// Repeats that are missing here.
     pub(crate) retry_needs: Vec<RetryAmount>,
     /// What others should know of requests under which endpoints have ended.
-    pub(crate) evidence: ToldEvidence,
+    pub(crate) evidence: EvidenceReport,
     /// Limits that endpoints have named to this instance.
     pub(crate) limits: Vec<LimitReport>,
 }
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -5,11 +5,15 @@
 use indexmap::IndexSet;
 use rand::rngs::SmallRng;
 
+use crate::fleet::{Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica};
+use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
+use crate::quarantine::Quarantine;
+use super::store::Access;
 use super::super::adapter::FeedRead;
 use super::super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::super::list_log::ListLog;
 use super::super::list_sync::{self, ListUpdate};
-use super::super::pacing::share_limits;
+use super::super::pacing::update_limit_shares;
 use super::super::peer::{InstanceRecord, Recipient, SyncSource};
 use super::super::peer_book::PeerBook;
 use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
@@ -17,12 +21,6 @@
 use super::super::snapshot::KnownVersions;
 use super::super::store_contact::StoreHealth;
 use super::super::test_settings;
-use super::store::Access;
-use crate::fleet::{
-    Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica,
-};
-use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
-use crate::quarantine::Quarantine;
 
 /// An endpoint that stays in service for the whole run.
 const STAYS: &str = "e29";
@@ -146,7 +144,7 @@
             ..Pacing::default()
         };
         self.fleet.pacing.apply(id, said, now_ms);
-        share_limits(&mut self.fleet, &self.book, now_ms);
+        update_limit_shares(&mut self.fleet, &self.book, now_ms);
         if self.fleet.pacing.has_unsent_updates() {
             self.book.request_heartbeat();
         }
@@ -176,7 +174,7 @@
             store_age_ms: answered_ms.map(|at_ms| now_ms.saturating_sub(at_ms)),
             held: Vec::new(),
             retry_needs: Vec::new(),
-            evidence: self.quarantine.next_told(now_ms),
+            evidence: self.quarantine.next_report(now_ms),
             limits: self.fleet.pacing.next_reports(now_ms),
         }
     }
@@ -195,7 +193,7 @@
         let own = self.own_state(now_ms);
         let heartbeat = self.book.heartbeat(&own, now_ms);
         self.book.remove_expired(now_ms);
-        share_limits(&mut self.fleet, &self.book, now_ms);
+        update_limit_shares(&mut self.fleet, &self.book, now_ms);
         let recipients = self.book.recipients(own.availability, now_ms);
         (heartbeat, recipients)
     }
@@ -216,11 +214,12 @@
         let knows_list =
             list_sync::observe_peer_watermark(log, fleet, peer, heartbeat.list, newest_at_ms);
         let relays = self.book.is_top_ranked_in_zone(now_ms);
-        self.quarantine.hear(&heartbeat.evidence, relays, now_ms);
+        self.quarantine
+            .apply_report(&heartbeat.evidence, relays, now_ms);
         let pacing = &mut self.fleet.pacing;
         let mut told = heartbeat.limits.iter();
         if told.any(|it| pacing.apply_reports(it, now_ms)) {
-            share_limits(&mut self.fleet, &self.book, now_ms);
+            update_limit_shares(&mut self.fleet, &self.book, now_ms);
         }
         for id in &heartbeat.leaving {
             self.fleet.record_peer_leaving(peer, id, now_ms);
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -3,17 +3,15 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use super::heartbeat::{
-    Availability, Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram,
-};
+use crate::fleet::EngineLoad;
+use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
+use crate::lease::LeaseHolder;
+use crate::quarantine::EvidenceReport;
+use super::heartbeat::{Availability, Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram};
 use super::list_log::ListWatermark;
 use super::peer::{InstanceRecord, Recipient};
 use super::peer_book::{HolderStatus, PeerBook};
 use super::test_settings::settings;
-use crate::fleet::EngineLoad;
-use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
-use crate::lease::LeaseHolder;
-use crate::quarantine::ToldEvidence;
 
 pub(super) const READY: Availability = Availability {
     is_ready: true,
@@ -62,7 +60,7 @@
         store_age_ms: availability.reaches_store.then_some(100),
         held: Vec::new(),
         retry_needs: Vec::new(),
-        evidence: ToldEvidence::default(),
+        evidence: EvidenceReport::default(),
         limits: Vec::new(),
     };
     book.heartbeat(&own, now_ms)
@@ -203,7 +201,7 @@
         store_age_ms: Some(700),
         held: engines.collect(),
         retry_needs: Vec::new(),
-        evidence: ToldEvidence::default(),
+        evidence: EvidenceReport::default(),
         limits: Vec::new(),
     };
     let beat = a.heartbeat(&own, 500_100);
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -9,19 +9,17 @@
 use bytes::{Bytes, BytesMut};
 use tokio::time::{timeout, timeout_at};
 
-use super::adapter::{Adapter, ReplyFacts};
+use crate::clock::boot_ms;
+use crate::fleet::{EndpointFailure, pick_replica};
+use crate::ids::EndpointId;
+use crate::quarantine::QuarantineStatus;
+use crate::relay::{AttemptEnd, AttemptLimit, Attempts, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose};
+use super::adapter::{Adapter, ResponseMetadata};
 use super::headers;
 use super::node::Node;
 use super::request::{RelayedRequest, error_response, finish, instant_at};
 use super::send_context::SendView;
 use super::upstream::UpstreamFailure;
-use crate::clock::boot_ms;
-use crate::fleet::{EndpointFailure, pick_replica};
-use crate::ids::EndpointId;
-use crate::quarantine::Doubt;
-use crate::relay::{
-    AttemptEnd, AttemptLimit, Attempts, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose,
-};
 
 /// Longest answer that is held until it is whole.
 const ANSWER_LIMIT_BYTES: usize = 16 << 20;
@@ -67,7 +65,7 @@
         route = request.route.name.as_str(),
         word = word.name(),
         limit = limit.name(),
-        repeats_left = node.repeats_left(&request.service),
+        repeats_left = node.retries_left(&request.service),
         sends = attempts.sends(),
         turned_away = attempts.turned_away(),
         known_at_send = sent.endpoints.as_str(),
@@ -92,7 +90,7 @@
     let mut cause = RefusalCause::NoEndpoint;
     let mut held: Option<WholeAnswer> = None;
     loop {
-        if node.doubt(request.digest) == Doubt::Withheld {
+        if node.quarantine_status(request.digest) == QuarantineStatus::Withheld {
             return answer_or(held, attempts.give_up(RefusalCause::Withheld));
         }
         let picked = pick_replica(
@@ -103,7 +101,7 @@
             boot_ms(),
         );
         let Some(endpoint) = picked else {
-            let cause = node.rate_limited(&request.service).unwrap_or(cause);
+            let cause = node.rate_limit_refusal(&request.service).unwrap_or(cause);
             return answer_or(held, attempts.give_up(cause));
         };
         attempts.sending(&endpoint);
@@ -130,19 +128,19 @@
             "attempt failed"
         );
         attempts.exclude(&endpoint);
-        node.troubled(&endpoint, trouble);
+        node.record_failure(&endpoint, trouble);
         if trouble == EndpointFailure::Broken {
-            node.run_broke_off(request.digest, &endpoint, None);
+            node.record_broken_run(request.digest, &endpoint, None);
             find_out_beside(node, &endpoint);
         }
         if end == AttemptEnd::TurnedAway {
             cause = RefusalCause::Full;
         }
         if attempts.gives_back(end) {
-            node.cancel_repeat(&request.service);
+            node.cancel_retry(&request.service);
         }
         match attempts.ended(end, || {
-            node.take_repeat(&request.service, RetryPurpose::Start)
+            node.take_retry(&request.service, RetryPurpose::Start)
         }) {
             NextStep::TryAgain => {}
             NextStep::PassOn(limit) => {
@@ -174,12 +172,12 @@
                     known.last_heard.record(boot_ms());
                 }
             }
-            Err(UpstreamFailure::NoListener) => node.troubled(&endpoint, EndpointFailure::Ended),
+            Err(UpstreamFailure::NoListener) => node.record_failure(&endpoint, EndpointFailure::Ended),
             Err(failure) => {
                 log::debug!(endpoint = endpoint.as_str(), failure:% = failure; "whether a replica has ended is not known");
             }
         }
-        node.settle_quarantine();
+        node.update_quarantine();
     });
 }
 
@@ -229,7 +227,7 @@
     let head = request.head_for(node, endpoint, None, None);
     let sent = node
         .send_with_permit(endpoint, address, head, request.body.clone(), || {
-            node.takes_requests(endpoint)
+            node.accepts_requests(endpoint)
         })
         .await;
     let exchange = match sent {
@@ -240,11 +238,11 @@
         Ok(answer) => answer,
         Err(failure) => return failed(failure),
     };
-    let facts = node.adapter.read_reply(&head);
+    let facts = node.adapter.parse_response_metadata(&head);
     if facts.id.as_deref() != Some(request.ask.id.as_str()) {
         return failed(UpstreamFailure::Garbled);
     }
-    node.heard_pacing(endpoint, facts.pacing);
+    node.apply_pacing(endpoint, facts.pacing);
     let mut whole = BytesMut::new();
     loop {
         match body.next().await {
@@ -269,14 +267,14 @@
     }
     TryEnd::Answer(WholeAnswer {
         status: head.status,
-        headers: headers::passed_on(&head.headers),
+        headers: headers::end_to_end_headers(&head.headers),
         body: whole.freeze(),
         limit: None,
     })
 }
 
 /// What an answer that cannot be passed on says.
-fn unusable(facts: &ReplyFacts, status: StatusCode) -> Option<TryEnd> {
+fn unusable(facts: &ResponseMetadata, status: StatusCode) -> Option<TryEnd> {
     if facts.not_run || status == StatusCode::MISDIRECTED_REQUEST {
         return Some(TryEnd::Failed(
             AttemptEnd::TurnedAway,
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -38,7 +38,7 @@
     let mut failures = 0;
     loop {
         // First, since callers may come at any moment.
-        let knows_key = quarantine_rows::learn(&node).await;
+        let knows_key = quarantine_rows::load(&node).await;
         let mut read = None;
         if failures > 0 && !is_written {
             // A write without an answer may have taken effect. Sent again and again, such writes would keep
@@ -52,8 +52,8 @@
         }
         if let Some(own) = read {
             is_written |= own == OwnRecord::IsThere;
-            node.are_records_known.set(true);
-            node.look_at_reading(boot_ms());
+            node.are_records_loaded.set(true);
+            node.update_store_reading(boot_ms());
         }
         let is_done = is_written && read.is_some() && knows_key;
         failures = if is_done { 0 } else { failures + 1 };
--- a/src/relay_server/request.rs
+++ b/src/relay_server/request.rs
@@ -9,21 +9,21 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
-use super::adapter::{Adapter, Ask, Dispatch};
-use super::node::Node;
 use crate::clock::boot_ms;
 use crate::fleet::Chain;
 use crate::ids::{AccountId, EndpointId, ServiceName};
 use crate::quarantine::RequestDigest;
 use crate::relay::{FinalError, RetryConditions};
 use crate::route_table::{Route, RouteTable};
+use super::adapter::{Adapter, Dispatch, RequestMetadata};
+use super::node::Node;
 
 /// What is left of a caller's time below which nothing is sent any more.
 const LEAST_PATIENCE_MS: u64 = 5;
 
 /// A request that the table allows.
 pub(crate) struct RelayedRequest {
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestMetadata,
     pub(crate) table: Rc<RouteTable>,
     pub(crate) route: Route,
     pub(crate) account: Option<AccountId>,
@@ -68,21 +68,22 @@
     {
         let mut head = self.head.clone();
         let dispatch = Dispatch {
-            patience_ms: self.left_ms(boot_ms()),
+            timeout_ms: self.left_ms(boot_ms()),
             endpoint: &endpoint.name(),
             account: self.account.as_ref(),
             priority: self.priority,
             chain,
             resume_after,
         };
-        node.adapter.set_dispatch(&mut head.headers, &dispatch);
+        node.adapter
+            .set_dispatch_headers(&mut head.headers, &dispatch);
         head
     }
 
     /// Tokens that the request will hold in each layer: the prompt and the answer it may bring.
     pub(crate) fn held_tokens(&self) -> u64 {
-        let hint = self.ask.hinted_answer_tokens;
-        let answer = hint.or(self.ask.max_answer_tokens).unwrap_or(0);
+        let hint = self.ask.response_tokens_hint;
+        let answer = hint.or(self.ask.max_response_tokens).unwrap_or(0);
         self.ask.prompt_tokens.unwrap_or(0) + answer
     }
 }
@@ -100,9 +101,9 @@
                 let layers = node.fleet.borrow().mean_layers(&self.service);
                 let share = layers / f64::from(model.layers.max(1));
                 let load_ms = (model.load_ms as f64 * share) as u64;
-                node.outlook(load_ms, node.run_times.borrow().mean_ms(&self.service))
+                node.retry_conditions(load_ms, node.run_times.borrow().mean_ms(&self.service))
             }
-            None => node.outlook(0, self.route.objective_ms),
+            None => node.retry_conditions(0, self.route.objective_ms),
         }
     }
 }
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -101,7 +101,7 @@
 {
     let settings = &node.settings;
     let mut addresses = vec![settings.front];
-    addresses.extend(&settings.own_pages);
+    addresses.extend(&settings.local_page_addresses);
     for address in addresses {
         let listener = listen(address)?;
         actix_rt::spawn(serve(Rc::clone(node), listener, Page::Front));
@@ -210,8 +210,8 @@
         node.upstreams.sweep(now_ms);
         node.checks.borrow_mut().sweep(now_ms);
         let changes = node.fleet.borrow_mut().expire(now_ms);
-        node.take_changes(&changes);
-        node.settle_quarantine();
+        node.apply_changes(&changes);
+        node.update_quarantine();
         checks::check_paused(&node).await;
     }
 }
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -15,9 +15,13 @@
 use thiserror::Error;
 use tokio::time::sleep;
 
+use crate::clients::{HttpCall, HttpFailure, HttpPeer};
+use crate::clock::boot_ms;
+use crate::ids::InstanceId;
+use crate::route_table::SourcedTable;
 use super::adapter::{Adapter, FeedFailure};
 use super::document_parts::{DocumentNews, DocumentPart, DocumentParts, DocumentQuery, PartFault};
-use super::feeds::take_table;
+use super::feeds::apply_table;
 use super::list_log::ListNews;
 use super::list_parts::{ListOffer, ListPartFault, ListParts, ListQuery, ListRest};
 use super::list_sync::{self, ListUpdate};
@@ -26,10 +30,6 @@
 use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
 use super::query::query_pairs;
 use super::uplink::Admission;
-use crate::clients::{HttpCall, HttpFailure, HttpPeer};
-use crate::clock::boot_ms;
-use crate::ids::InstanceId;
-use crate::route_table::SourcedTable;
 
 /// Pause between two looks at whether a peer knows more.
 pub(super) const LOOK_MS: u64 = 250;
@@ -235,7 +235,7 @@
         };
         tokio::select! {
             () = sleep(Duration::from_millis(pause_ms)) => {}
-            () = node.peer_knows_more.notified() => {}
+            () = node.peer_ahead_notify.notified() => {}
         }
     }
 }
@@ -259,7 +259,7 @@
     let knowledge = SyncState {
         behind_since_ms: asking.update_lag(&sync_sources, known, now_ms),
         reads_store: node.reads_store(),
-        is_fed: node.is_fed(),
+        is_fed: node.receives_store_updates(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
     let draw = node.draw();
@@ -374,7 +374,7 @@
     let (whole, dropped_bytes) = parts.take(part, sent_ms)?;
     count_wasted(node, dropped_bytes);
     if let Some(whole) = whole {
-        let table = node.adapter.read_table(&whole.content)?;
+        let table = node.adapter.parse_table(&whole.content)?;
         log::info!(
             peer:% = peer.address,
             table = table.version,
@@ -384,8 +384,8 @@
         );
         let source = whole.content;
         let sourced = SourcedTable { table, source };
-        if take_table(node, Some(sourced), whole.newest_at_ms) {
-            node.tell_knowledge();
+        if apply_table(node, Some(sourced), whole.newest_at_ms) {
+            node.request_heartbeat();
         }
     }
     Ok(())
@@ -409,7 +409,7 @@
         newest_at_ms,
         boot_ms(),
     );
-    node.note_informed();
+    node.update_informed();
     // Peers are not told: they know it better.
-    node.take_changes(&changes);
+    node.apply_changes(&changes);
 }
