--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -3,12 +3,12 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::dissemination::Rotation;
-use crate::ids::EndpointId;
 use super::cleared::Cleared;
 use super::pending::{BrokenRun, Pending};
 use super::verdict::{Death, Deaths, ENDS_TO_WITHHOLD, withheld};
 use super::{ClearanceReport, CrashReport, EndpointLiveness, RequestDigest, RunStage};
+use crate::dissemination::Rotation;
+use crate::ids::EndpointId;
 
 /// How long evidence counts after the newest end under a request. A caller who comes again within it
 /// finds the request still withheld; one wrongly withheld, whose answers are all forgotten, waits no
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -12,16 +12,16 @@
 use futures_util::StreamExt;
 use tokio::time::timeout;
 
-use crate::clock::boot_ms;
-use crate::quarantine::{QuarantineStatus, RequestParts};
-use crate::relay::{AttemptLimit, FinalError, RefusalCause};
-use crate::route_table::{Rejection, Route, RouteTable};
 use super::adapter::{Adapter, LocalPage};
 use super::headers;
 use super::node::Node;
 use super::plain::relay_plain;
 use super::request::{RelayedRequest, error_response, status_response};
 use super::stream_response::relay_stream;
+use crate::clock::boot_ms;
+use crate::quarantine::{QuarantineStatus, RequestParts};
+use crate::relay::{AttemptLimit, FinalError, RefusalCause};
+use crate::route_table::{Rejection, Route, RouteTable};
 
 /// Longest wait for a whole body. Callers send bodies of a few kilobytes at once.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -7,12 +7,12 @@
 
 use serde::{Deserialize, Serialize};
 
+use super::list_log::ListWatermark;
 use crate::fleet::{EngineLoad, LimitReport};
 use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
 use crate::quarantine::EvidenceReport;
 use crate::relay::{RetryAmount, RetryLoan};
 use crate::wire::engine::LayerRange;
-use super::list_log::ListWatermark;
 
 /// What an instance tells the others of itself and of the endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -5,10 +5,6 @@
 use indexmap::IndexSet;
 use rand::rngs::SmallRng;
 
-use crate::fleet::{Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica};
-use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
-use crate::quarantine::Quarantine;
-use super::store::Access;
 use super::super::adapter::FeedRead;
 use super::super::heartbeat::{Availability, Echo, Heartbeat, OwnState};
 use super::super::list_log::ListLog;
@@ -21,6 +17,12 @@
 use super::super::snapshot::KnownVersions;
 use super::super::store_contact::StoreHealth;
 use super::super::test_settings;
+use super::store::Access;
+use crate::fleet::{
+    Fleet, FleetChange, ListingRead, Pacing, Permit, Phase, RateLimitUpdate, pick_replica,
+};
+use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
+use crate::quarantine::Quarantine;
 
 /// An endpoint that stays in service for the whole run.
 const STAYS: &str = "e29";
--- a/src/relay_server/list_propagation_tests/world.rs
+++ b/src/relay_server/list_propagation_tests/world.rs
@@ -8,17 +8,17 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::fleet::{ListedEndpoint, ListingRead};
-use crate::ids::{EndpointId, InstanceId};
-use crate::quarantine::{EndpointLiveness, RequestDigest, RunStage};
-use super::due::Due;
-use super::instance::{Instance, Process};
-use super::store::{Access, Departure, Store};
 use super::super::adapter::FeedRead;
 use super::super::heartbeat::{Echo, Heartbeat};
 use super::super::list_sync::ListUpdate;
 use super::super::peer::{InstanceRecord, SyncSource};
 use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
+use super::due::Due;
+use super::instance::{Instance, Process};
+use super::store::{Access, Departure, Store};
+use crate::fleet::{ListedEndpoint, ListingRead};
+use crate::ids::{EndpointId, InstanceId};
+use crate::quarantine::{EndpointLiveness, RequestDigest, RunStage};
 
 /// As in service: how long a watch waits, what a call may take beside that, and the pauses.
 const WATCH_WAIT_MS: u64 = 1_700;
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -45,7 +45,12 @@
     }
 
     /// Takes limits that a peer has heard.
-    pub(super) fn apply_limit_reports(&self, peer: &InstanceId, limits: &[LimitReport], now_ms: u64) {
+    pub(super) fn apply_limit_reports(
+        &self,
+        peer: &InstanceId,
+        limits: &[LimitReport],
+        now_ms: u64,
+    ) {
         let mut has_changed = false;
         for told in limits {
             let mut fleet = self.fleet.borrow_mut();
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -3,15 +3,17 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use crate::fleet::EngineLoad;
-use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
-use crate::lease::LeaseHolder;
-use crate::quarantine::EvidenceReport;
-use super::heartbeat::{Availability, Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram};
+use super::heartbeat::{
+    Availability, Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram,
+};
 use super::list_log::ListWatermark;
 use super::peer::{InstanceRecord, Recipient};
 use super::peer_book::{HolderStatus, PeerBook};
 use super::test_settings::settings;
+use crate::fleet::EngineLoad;
+use crate::ids::{EndpointId, Incarnation, InstanceId, ServiceName, ZoneName};
+use crate::lease::LeaseHolder;
+use crate::quarantine::EvidenceReport;
 
 pub(super) const READY: Availability = Availability {
     is_ready: true,
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -12,19 +12,21 @@
 use indexmap::IndexMap;
 use tokio::net::UdpSocket;
 
-use crate::clock::boot_ms;
-use crate::fleet::{EngineLoad, describe_list};
-use crate::ids::ZoneName;
-use crate::placement::PlacementOrder;
 use super::adapter::Adapter;
 use super::checks::check_in_background;
-use super::heartbeat::{Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram};
+use super::heartbeat::{
+    Heartbeat, HeldLoad, OwnState, PeerPart, datagram, heartbeat_bytes, read_datagram,
+};
 use super::node::Node;
 use super::peer::Recipient;
 use super::peer_book::{FarLoads, HEARTBEAT_INTERVAL_MS};
 use super::retry_loans::wants;
 use super::withholding::SOURCE_PEERS;
 use super::{list_sync, room_notice};
+use crate::clock::boot_ms;
+use crate::fleet::{EngineLoad, describe_list};
+use crate::ids::ZoneName;
+use crate::placement::PlacementOrder;
 
 /// Longest datagram that arrives in one piece on any usual link is about 1,400 bytes; longer ones
 /// are split by the network and still arrive.
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -9,17 +9,19 @@
 use bytes::{Bytes, BytesMut};
 use tokio::time::{timeout, timeout_at};
 
-use crate::clock::boot_ms;
-use crate::fleet::{EndpointFailure, pick_replica};
-use crate::ids::EndpointId;
-use crate::quarantine::QuarantineStatus;
-use crate::relay::{AttemptEnd, AttemptLimit, Attempts, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose};
 use super::adapter::{Adapter, ResponseMetadata};
 use super::headers;
 use super::node::Node;
 use super::request::{RelayedRequest, error_response, finish, instant_at};
 use super::send_context::SendView;
 use super::upstream::UpstreamFailure;
+use crate::clock::boot_ms;
+use crate::fleet::{EndpointFailure, pick_replica};
+use crate::ids::EndpointId;
+use crate::quarantine::QuarantineStatus;
+use crate::relay::{
+    AttemptEnd, AttemptLimit, Attempts, FinalError, GivenUp, NextStep, RefusalCause, RetryPurpose,
+};
 
 /// Longest answer that is held until it is whole.
 const ANSWER_LIMIT_BYTES: usize = 16 << 20;
@@ -172,7 +174,9 @@
                     known.last_heard.record(boot_ms());
                 }
             }
-            Err(UpstreamFailure::NoListener) => node.record_failure(&endpoint, EndpointFailure::Ended),
+            Err(UpstreamFailure::NoListener) => {
+                node.record_failure(&endpoint, EndpointFailure::Ended)
+            }
             Err(failure) => {
                 log::debug!(endpoint = endpoint.as_str(), failure:% = failure; "whether a replica has ended is not known");
             }
--- a/src/relay_server/request.rs
+++ b/src/relay_server/request.rs
@@ -9,14 +9,14 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 
+use super::adapter::{Adapter, Dispatch, RequestMetadata};
+use super::node::Node;
 use crate::clock::boot_ms;
 use crate::fleet::Chain;
 use crate::ids::{AccountId, EndpointId, ServiceName};
 use crate::quarantine::RequestDigest;
 use crate::relay::{FinalError, RetryConditions};
 use crate::route_table::{Route, RouteTable};
-use super::adapter::{Adapter, Dispatch, RequestMetadata};
-use super::node::Node;
 
 /// What is left of a caller's time below which nothing is sent any more.
 const LEAST_PATIENCE_MS: u64 = 5;
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -15,10 +15,6 @@
 use thiserror::Error;
 use tokio::time::sleep;
 
-use crate::clients::{HttpCall, HttpFailure, HttpPeer};
-use crate::clock::boot_ms;
-use crate::ids::InstanceId;
-use crate::route_table::SourcedTable;
 use super::adapter::{Adapter, FeedFailure};
 use super::document_parts::{DocumentNews, DocumentPart, DocumentParts, DocumentQuery, PartFault};
 use super::feeds::apply_table;
@@ -30,6 +26,10 @@
 use super::peer_selection::{FetchDecision, FetchRequest, PartialFetches, PeerSelector, SyncState};
 use super::query::query_pairs;
 use super::uplink::Admission;
+use crate::clients::{HttpCall, HttpFailure, HttpPeer};
+use crate::clock::boot_ms;
+use crate::ids::InstanceId;
+use crate::route_table::SourcedTable;
 
 /// Pause between two looks at whether a peer knows more.
 pub(super) const LOOK_MS: u64 = 250;
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -141,7 +141,9 @@
         // It was in service when the run broke off, and neither drained nor answered since.
         None => EndpointLiveness::Ended,
         Some(known) if known.listed.phase == Phase::Leaving => EndpointLiveness::Ended,
-        Some(known) if known.last_heard.at_ms() > broke_ms + UNDER_WAY_MS => EndpointLiveness::Alive,
+        Some(known) if known.last_heard.at_ms() > broke_ms + UNDER_WAY_MS => {
+            EndpointLiveness::Alive
+        }
         Some(_) => EndpointLiveness::Unknown,
     }
 }
