--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -15,7 +15,7 @@
 use crate::instance::{TableCall, TableReply};
 use crate::invariant;
 use crate::wire::platform::{ReadRows, TransactReply};
-use rows::{LeaseRow, ReadLease, lease_key, read_lease, write_lease};
+use rows::{LeaseRow, ReadLease, lease_key, lease_write, read_lease};
 
 /// How long a lease holds without renewal.
 pub(crate) const LEASE_MS: u64 = 10_000;
@@ -87,7 +87,7 @@
 
 /// The row as another instance left it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Seen {
+struct ObservedRow {
     version: u64,
     row: LeaseRow,
     /// When it was first read like this.
@@ -107,7 +107,7 @@
 
 /// A write without a reply that was understood.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Sent {
+struct PendingWrite {
     fence: u64,
     at_ms: u64,
     unfenced_from_ms: u64,
@@ -121,21 +121,21 @@
     instance: InstanceId,
     incarnation: Incarnation,
     wanted: bool,
-    seen: Option<Seen>,
+    observed: Option<ObservedRow>,
     holding: Option<Holding>,
     /// The first write since the last reply that was understood.
-    sent: Option<Sent>,
+    pending_write: Option<PendingWrite>,
     /// When the last call was sent.
-    called_ms: u64,
-    under_way: bool,
-    next_ms: u64,
+    last_call_ms: u64,
+    call_in_flight: bool,
+    next_call_ms: u64,
     /// Highest fencing number seen; never falls.
     highest_fence: u64,
     /// Highest fencing number whose holder is known to have ended.
-    ended_fence: u64,
+    max_ended_fence: u64,
     /// Highest fencing number of a write of this process that may yet take effect, late. It is not
     /// used again: the row it leaves would pass for that of a later write, with a later end.
-    lost_fence: u64,
+    max_unconfirmed_fence: u64,
 }
 
 impl Lease {
@@ -161,15 +161,15 @@
             instance,
             incarnation,
             wanted: false,
-            seen: None,
+            observed: None,
             holding: None,
-            sent: None,
-            called_ms: 0,
-            under_way: false,
-            next_ms: 0,
+            pending_write: None,
+            last_call_ms: 0,
+            call_in_flight: false,
+            next_call_ms: 0,
             highest_fence: 0,
-            ended_fence: 0,
-            lost_fence: 0,
+            max_ended_fence: 0,
+            max_unconfirmed_fence: 0,
         }
     }
 
@@ -177,13 +177,13 @@
     pub(crate) fn want(&mut self, wanted: bool) {
         if self.wanted != wanted {
             self.wanted = wanted;
-            self.next_ms = 0;
+            self.next_call_ms = 0;
         }
     }
 
     /// The process that holds the lease, if the row was read and is another's.
     pub(crate) fn holder(&self) -> Option<LeaseHolder> {
-        let seen = self.seen.as_ref().filter(|seen| !seen.row.released)?;
+        let seen = self.observed.as_ref().filter(|seen| !seen.row.released)?;
         Some(LeaseHolder {
             instance: seen.row.holder.clone(),
             incarnation: seen.row.incarnation,
@@ -196,10 +196,10 @@
     /// turn away those that it may still give: its time is not waited out. At engines that ignore
     /// fencing numbers its orders under way are. Returns whether that is news.
     pub(crate) fn record_holder_ended(&mut self, fence: u64) -> bool {
-        let is_news = fence > self.ended_fence;
+        let is_news = fence > self.max_ended_fence;
         if is_news {
-            self.ended_fence = fence;
-            self.next_ms = 0;
+            self.max_ended_fence = fence;
+            self.next_call_ms = 0;
         }
         is_news
     }
@@ -227,12 +227,12 @@
 
     /// The call to make now, if one is due.
     pub(crate) fn due(&mut self, now_ms: u64) -> Option<TableCall> {
-        if self.under_way || now_ms < self.next_ms {
+        if self.call_in_flight || now_ms < self.next_call_ms {
             return None;
         }
         let call = self.next_call(now_ms)?;
-        self.under_way = true;
-        self.called_ms = now_ms;
+        self.call_in_flight = true;
+        self.last_call_ms = now_ms;
         Some(call)
     }
 
@@ -242,20 +242,20 @@
         result: Result<TableReply, TableFailure>,
         now_ms: u64,
     ) -> Option<LeaseEvent> {
-        self.under_way = false;
-        self.next_ms = now_ms + self.times.retry_ms;
+        self.call_in_flight = false;
+        self.next_call_ms = now_ms + self.times.retry_ms;
         match result {
             Ok(TableReply::Transacted(TransactReply::Committed { version })) => {
-                self.written(version, now_ms)
+                self.write_committed(version, now_ms)
             }
             Ok(TableReply::Transacted(TransactReply::Conflict { rows })) => {
-                self.row_read(read_lease(&rows, &self.service), now_ms)
+                self.apply_row(read_lease(&rows, &self.service), now_ms)
             }
             Ok(TableReply::Read(rows)) => {
-                self.row_read(read_lease(&rows.rows, &self.service), now_ms)
+                self.apply_row(read_lease(&rows.rows, &self.service), now_ms)
             }
             Err(failure) => {
-                self.failed(failure);
+                self.call_failed(failure);
                 None
             }
         }
@@ -265,9 +265,11 @@
         match (self.holding, self.wanted) {
             (Some(holding), true) => self.renew(holding, now_ms),
             (Some(holding), false) => self.release(holding),
-            (None, true) if self.sent.is_none() && self.is_free(now_ms) => self.take(now_ms),
+            (None, true) if self.pending_write.is_none() && self.can_take_over(now_ms) => {
+                self.acquire(now_ms)
+            }
             (None, true) => {
-                self.next_ms = now_ms + self.times.watch_ms;
+                self.next_call_ms = now_ms + self.times.watch_ms;
                 Some(TableCall::Read(ReadRows {
                     keys: vec![lease_key(&self.service)],
                 }))
@@ -277,25 +279,28 @@
     }
 
     /// Whether the row as last read may be taken over now.
-    fn is_free(&self, now_ms: u64) -> bool {
-        self.seen.as_ref().is_some_and(|seen| {
+    fn can_take_over(&self, now_ms: u64) -> bool {
+        self.observed.as_ref().is_some_and(|seen| {
             // An instance runs one process at a time; what this process holds itself it waits for.
             let has_ended =
                 seen.row.holder == self.instance && seen.row.incarnation != self.incarnation;
             seen.row.released
                 || has_ended
-                || seen.row.fence <= self.ended_fence
+                || seen.row.fence <= self.max_ended_fence
                 || now_ms >= seen.since_ms + self.times.lease_ms + self.times.margin_ms
         })
     }
 
-    fn take(&mut self, now_ms: u64) -> Option<TableCall> {
-        let last = self.seen.as_ref();
-        let fence = last.map_or(0, |seen| seen.row.fence).max(self.lost_fence) + 1;
+    fn acquire(&mut self, now_ms: u64) -> Option<TableCall> {
+        let last = self.observed.as_ref();
+        let fence = last
+            .map_or(0, |seen| seen.row.fence)
+            .max(self.max_unconfirmed_fence)
+            + 1;
         let was_idle = last.is_none_or(|seen| seen.row.released || seen.row.fence == 0);
         let wait_ms = if was_idle { 0 } else { MAX_ORDER_DELAY_MS };
         let version = last.map(|seen| seen.version).filter(|version| *version > 0);
-        self.sent = Some(Sent {
+        self.pending_write = Some(PendingWrite {
             fence,
             at_ms: now_ms,
             unfenced_from_ms: now_ms + wait_ms,
@@ -304,7 +309,7 @@
     }
 
     fn renew(&mut self, holding: Holding, now_ms: u64) -> Option<TableCall> {
-        self.sent.get_or_insert(Sent {
+        self.pending_write.get_or_insert(PendingWrite {
             fence: holding.fence,
             at_ms: now_ms,
             unfenced_from_ms: holding.unfenced_from_ms,
@@ -315,8 +320,8 @@
     /// Gives the lease back; from here on nothing is sent under it, whatever comes of the write.
     fn release(&mut self, holding: Holding) -> Option<TableCall> {
         self.holding = None;
-        self.sent = None;
-        self.seen = None;
+        self.pending_write = None;
+        self.observed = None;
         self.write(holding.fence, Some(holding.version), true)
     }
 
@@ -327,28 +332,28 @@
             fence,
             released,
         };
-        let transaction = write_lease(&self.service, &row, version).ok()?;
+        let transaction = lease_write(&self.service, &row, version).ok()?;
         Some(TableCall::Transact(transaction))
     }
 
-    fn written(&mut self, version: u64, now_ms: u64) -> Option<LeaseEvent> {
+    fn write_committed(&mut self, version: u64, now_ms: u64) -> Option<LeaseEvent> {
         // The condition held, so no earlier write took effect: the time is that of this one.
-        let sent = Sent {
-            at_ms: self.called_ms,
-            ..self.sent.take()?
+        let sent = PendingWrite {
+            at_ms: self.last_call_ms,
+            ..self.pending_write.take()?
         };
-        self.next_ms = now_ms + self.times.renew_ms;
-        self.hold(sent, version)
+        self.next_call_ms = now_ms + self.times.renew_ms;
+        self.record_holding(sent, version)
     }
 
-    fn failed(&mut self, failure: TableFailure) {
-        let is_last = |sent: &Sent| sent.at_ms == self.called_ms;
-        if !failure.may_have_applied() && self.sent.as_ref().is_some_and(is_last) {
-            self.sent = None;
+    fn call_failed(&mut self, failure: TableFailure) {
+        let is_last = |sent: &PendingWrite| sent.at_ms == self.last_call_ms;
+        if !failure.may_have_applied() && self.pending_write.as_ref().is_some_and(is_last) {
+            self.pending_write = None;
         }
     }
 
-    fn hold(&mut self, sent: Sent, version: u64) -> Option<LeaseEvent> {
+    fn record_holding(&mut self, sent: PendingWrite, version: u64) -> Option<LeaseEvent> {
         let was = self.holding;
         invariant::check(
             sent.fence >= self.highest_fence,
@@ -366,46 +371,46 @@
         taken.then_some(LeaseEvent::Taken { fence: sent.fence })
     }
 
-    fn row_read(&mut self, read: ReadLease, now_ms: u64) -> Option<LeaseEvent> {
+    fn apply_row(&mut self, read: ReadLease, now_ms: u64) -> Option<LeaseEvent> {
         let (version, row) = match read {
             ReadLease::Row(version, row) => (version, row),
-            ReadLease::Absent => (0, LeaseRow::none(&self.instance, self.incarnation)),
+            ReadLease::Absent => (0, LeaseRow::vacant(&self.instance, self.incarnation)),
             ReadLease::Unreadable => return None,
         };
         self.highest_fence = self.highest_fence.max(row.fence);
-        if let Some(sent) = self.sent.take() {
+        if let Some(sent) = self.pending_write.take() {
             if self.is_own(&row, &sent) {
                 // A write whose reply was lost took effect; of several the first one sets the time.
-                self.next_ms = now_ms + self.times.renew_ms;
-                return self.hold(sent, version);
+                self.next_call_ms = now_ms + self.times.renew_ms;
+                return self.record_holding(sent, version);
             }
-            self.lost_fence = self.lost_fence.max(sent.fence);
+            self.max_unconfirmed_fence = self.max_unconfirmed_fence.max(sent.fence);
         }
         let lost = self.holding.take().is_some();
-        self.see(version, row, now_ms);
+        self.observe(version, row, now_ms);
         lost.then_some(LeaseEvent::Lost)
     }
 
-    fn is_own(&self, row: &LeaseRow, sent: &Sent) -> bool {
+    fn is_own(&self, row: &LeaseRow, sent: &PendingWrite) -> bool {
         row.incarnation == self.incarnation && row.fence == sent.fence && !row.released
     }
 
-    fn see(&mut self, version: u64, row: LeaseRow, now_ms: u64) {
-        let before = self.seen.as_ref();
+    fn observe(&mut self, version: u64, row: LeaseRow, now_ms: u64) {
+        let before = self.observed.as_ref();
         let same = before.filter(|seen| seen.version == version);
         let since_ms = same.map_or(now_ms, |seen| seen.since_ms);
         let has_renewed = before.is_some_and(|seen| {
             let is_renewal = seen.version != version && seen.row.fence == row.fence;
             seen.has_renewed && seen.row.fence == row.fence || is_renewal
         });
-        self.seen = Some(Seen {
+        self.observed = Some(ObservedRow {
             version,
             row,
             since_ms,
             has_renewed,
         });
-        if self.is_free(now_ms) {
-            self.next_ms = now_ms;
+        if self.can_take_over(now_ms) {
+            self.next_call_ms = now_ms;
         }
     }
 }
--- a/src/lease/rows.rs
+++ b/src/lease/rows.rs
@@ -21,7 +21,7 @@
 
 impl LeaseRow {
     /// What stands for a row that does not exist.
-    pub(super) fn none(instance: &InstanceId, incarnation: Incarnation) -> Self {
+    pub(super) fn vacant(instance: &InstanceId, incarnation: Incarnation) -> Self {
         Self {
             holder: instance.clone(),
             incarnation,
@@ -60,7 +60,7 @@
 }
 
 /// Writes a lease on condition of the row's version; `None` for a row that must not exist.
-pub(super) fn write_lease(
+pub(super) fn lease_write(
     service: &ServiceName,
     lease: &LeaseRow,
     version: Option<u64>,
