--- a/src/orders/capacity.rs
+++ b/src/orders/capacity.rs
@@ -26,7 +26,7 @@
     }
 
     /// Takes an engine away.
-    pub(super) fn take(&mut self, state: &EngineState, version: &str, layers: LayerRange) {
+    pub(super) fn remove(&mut self, state: &EngineState, version: &str, layers: LayerRange) {
         self.change(version, layers, -rate(state));
     }
 
@@ -47,7 +47,7 @@
     }
 
     /// The least that a version has of these layers, as a part of all that hold them.
-    pub(super) fn part_of(&self, version: &str, layers: LayerRange) -> f64 {
+    pub(super) fn min_share(&self, version: &str, layers: LayerRange) -> f64 {
         let range = usize::from(layers.first)..usize::from(layers.end);
         let part = |layer: usize| {
             let total: f64 = self.versions.values().map(|rates| rates[layer]).sum();
--- a/src/orders/desired.rs
+++ b/src/orders/desired.rs
@@ -23,7 +23,7 @@
         }
     }
     let offer = models.values().next()?;
-    let layers = weakest_range(offer, engines)?;
+    let layers = slowest_range(offer, engines)?;
     Some(assignment(offer, layers))
 }
 
@@ -37,7 +37,7 @@
 }
 
 /// Of the ranges that engines of the model hold, the one with the lowest rate.
-fn weakest_range(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Option<LayerRange> {
+fn slowest_range(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Option<LayerRange> {
     let mut rates: IndexMap<LayerRange, f64> = IndexMap::new();
     let states = engines.iter().filter_map(|engine| engine.state);
     for state in states.filter(|state| state.model == offer.name && !state.layers.is_empty()) {
--- a/src/orders/plan.rs
+++ b/src/orders/plan.rs
@@ -11,9 +11,9 @@
 use super::view::EngineView;
 
 /// Most engines that load weights for one service at once; the weight store limits its rate.
-const LOADS_AT_ONCE: usize = 4;
+const MAX_CONCURRENT_LOADS: usize = 4;
 /// Part of the full capacity that may be away at any load.
-const ALWAYS_AWAY: f64 = 0.25;
+const MAX_UNAVAILABLE_FRACTION: f64 = 0.25;
 /// Capacity kept over what is in use.
 const HEADROOM: f64 = 1.25;
 
@@ -64,60 +64,60 @@
             .iter()
             .filter(|it| it.desired.model == offer.name);
         let own: Vec<&Candidate<'_>> = own.collect();
-        let free = LOADS_AT_ONCE.saturating_sub(under_way + plan.orders.len());
-        plan.orders.extend(choose(offer, engines, own, free));
+        let free = MAX_CONCURRENT_LOADS.saturating_sub(under_way + plan.orders.len());
+        plan.orders.extend(select_orders(offer, engines, own, free));
     }
     plan
 }
 
 /// Chooses up to `free` engines of one model, one after the other, each time the one whose layers
 /// have least of the new version, so that whole chains of it come about early.
-fn choose(
+fn select_orders(
     offer: &ModelOffer,
     engines: &[EngineView<'_>],
     mut candidates: Vec<&Candidate<'_>>,
     free: usize,
 ) -> Vec<(EndpointId, EngineAssignment)> {
-    let mut now = working(offer, engines);
-    let mut then = planned(offer, engines);
-    let least = least_capacity(offer, engines);
+    let mut available = available_capacity(offer, engines);
+    let mut planned = planned_capacity(offer, engines);
+    let least = min_capacity(offer, engines);
     let mut chosen = Vec::new();
     while chosen.len() < free && !candidates.is_empty() {
         let next = candidates
             .iter()
             .enumerate()
-            .map(|(index, candidate)| (index, urgency(offer, &then, candidate)))
+            .map(|(index, candidate)| (index, rank(offer, &planned, candidate)))
             .min_by(|(_, a), (_, b)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map_or(0, |(index, _)| index);
         let candidate = candidates.remove(next);
         let state = candidate.state;
         if candidate.desired.disturbs(state) && state.model == offer.name {
-            let mut without = now.clone();
-            without.take(state, &state.version, state.layers);
+            let mut without = available.clone();
+            without.remove(state, &state.version, state.layers);
             if without.usable() < least {
                 continue;
             }
-            now = without;
+            available = without;
         }
-        then.take(state, &state.version, state.layers);
-        then.add(state, &offer.version, candidate.desired.layers);
+        planned.remove(state, &state.version, state.layers);
+        planned.add(state, &offer.version, candidate.desired.layers);
         chosen.push((candidate.engine.endpoint.clone(), candidate.desired.clone()));
     }
     chosen
 }
 
-fn urgency<'a>(
+fn rank<'a>(
     offer: &ModelOffer,
     then: &Capacity,
     candidate: &Candidate<'a>,
 ) -> (f64, (u32, &'a EndpointId)) {
-    let part = then.part_of(&offer.version, candidate.desired.layers);
+    let part = then.min_share(&offer.version, candidate.desired.layers);
     let busy = candidate.state.running + candidate.state.waiting;
     (part, (busy, candidate.engine.endpoint))
 }
 
 /// Capacity of the engines that take new work and are not about to stop.
-fn working(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
+fn available_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
     let mut capacity = Capacity::new(offer.layers);
     for (engine, state) in of_model(offer, engines) {
         let stops = engine.ordered.is_some_and(|order| order.disturbs(state));
@@ -129,7 +129,7 @@
 }
 
 /// Capacity once every order under way is fulfilled.
-fn planned(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
+fn planned_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
     let mut capacity = Capacity::new(offer.layers);
     for (engine, state) in of_model(offer, engines) {
         match engine.ordered {
@@ -141,8 +141,8 @@
 }
 
 /// Capacity that must stay: what is in use with some headroom, but not more than leaves
-/// [`ALWAYS_AWAY`]. Always more than nothing, so that no layer is left without an engine.
-fn least_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> f64 {
+/// [`MAX_UNAVAILABLE_FRACTION`]. Always more than nothing, so that no layer is left without an engine.
+fn min_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> f64 {
     let mut all = Capacity::new(offer.layers);
     let mut slots = 0;
     let mut busy = 0;
@@ -153,7 +153,7 @@
     }
     let full = all.full();
     let in_use = f64::from(busy) / f64::from(slots.max(1)) * full;
-    let kept = (in_use * HEADROOM).min(full * (1.0 - ALWAYS_AWAY));
+    let kept = (in_use * HEADROOM).min(full * (1.0 - MAX_UNAVAILABLE_FRACTION));
     kept.max(f64::MIN_POSITIVE)
 }
 
