--- a/src/placement/coverage.rs
+++ b/src/placement/coverage.rs
@@ -30,10 +30,10 @@
 
 /// What is held of one layer.
 #[derive(Clone, Copy, Debug)]
-struct LayerCover {
+struct LayerHolders {
     holders: u32,
-    /// Factor on the time of a token step at the fastest holder; infinite without one.
-    fastest: f64,
+    /// Factor on the time of a token step at the min_step_factor holder; infinite without one.
+    min_step_factor: f64,
 }
 
 /// How much a window of layers needs one more holder. Compared in the order of the fields: a layer
@@ -42,30 +42,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Need {
     /// Layers without a holder.
-    holes: u32,
+    uncovered: u32,
     /// Step factors saved, over the layers that would run much faster than now.
     saved: f64,
     /// Grows with the layers that have few holders.
-    copies: u64,
+    redundancy: u64,
 }
 
-/// How many times faster than a layer's fastest holder an engine must be for the layer to be worth
+/// How many times faster than a layer's min_step_factor holder an engine must be for the layer to be worth
 /// more than another one's second holder: a lesser gain is within what load does to two engines
 /// of one kind.
-const MUCH_FASTER: f64 = 1.5;
+const MIN_SPEEDUP: f64 = 1.5;
 
 /// Who holds each layer.
 #[derive(Clone, Debug)]
-pub(super) struct Coverage(Vec<LayerCover>);
+pub(super) struct Coverage(Vec<LayerHolders>);
 
 impl Coverage {
     pub(super) fn of<I>(layers: u16, ranges: I) -> Self
     where
         I: IntoIterator<Item = HeldRange>,
     {
-        let nothing = LayerCover {
+        let nothing = LayerHolders {
             holders: 0,
-            fastest: f64::INFINITY,
+            min_step_factor: f64::INFINITY,
         };
         let mut coverage = Self(vec![nothing; usize::from(layers)]);
         for range in ranges {
@@ -78,24 +78,24 @@
         for layer in range.layers.first..range.layers.end {
             if let Some(cover) = self.0.get_mut(usize::from(layer)) {
                 cover.holders += 1;
-                cover.fastest = cover.fastest.min(range.step_factor);
+                cover.min_step_factor = cover.min_step_factor.min(range.step_factor);
             }
         }
     }
 
     /// Layers without any holder.
-    pub(super) fn holes(&self) -> u32 {
+    pub(super) fn uncovered_layers(&self) -> u32 {
         self.0.iter().filter(|cover| cover.holders == 0).count() as u32
     }
 
     /// Whether some layer has no holder.
-    pub(super) fn has_hole(&self) -> bool {
+    pub(super) fn has_gap(&self) -> bool {
         self.0.iter().any(|cover| cover.holders == 0)
     }
 
     /// The window of `count` layers that needs a holder with this step factor most. Of equal ones the
     /// first.
-    pub(super) fn neediest(&self, count: u16, step_factor: f64) -> Option<HeldRange> {
+    pub(super) fn best_window(&self, count: u16, step_factor: f64) -> Option<HeldRange> {
         let total = u16::try_from(self.0.len()).ok()?;
         if count == 0 || count > total {
             return None;
@@ -120,26 +120,26 @@
 
     /// Whether an engine with this range would run some of its layers for everybody: they have no other
     /// holder, or only much slower ones.
-    pub(super) fn is_carried_by(&self, range: HeldRange) -> bool {
+    pub(super) fn would_be_used(&self, range: HeldRange) -> bool {
         let need = self.need(range.layers, range.step_factor);
-        need.holes > 0 || need.saved > 0.0
+        need.uncovered > 0 || need.saved > 0.0
     }
 
     fn need(&self, window: LayerRange, step_factor: f64) -> Need {
         let covers = &self.0[usize::from(window.first)..usize::from(window.end)];
         let mut need = Need {
-            holes: 0,
+            uncovered: 0,
             saved: 0.0,
-            copies: 0,
+            redundancy: 0,
         };
         for cover in covers {
             if cover.holders == 0 {
-                need.holes += 1;
-            } else if cover.fastest >= step_factor * MUCH_FASTER {
-                need.saved += cover.fastest - step_factor;
+                need.uncovered += 1;
+            } else if cover.min_step_factor >= step_factor * MIN_SPEEDUP {
+                need.saved += cover.min_step_factor - step_factor;
             }
             // Each further holder is worth much less than the one before.
-            need.copies += 1_000_000u64 >> (cover.holders * 6).min(20);
+            need.redundancy += 1_000_000u64 >> (cover.holders * 6).min(20);
         }
         need
     }
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -13,13 +13,13 @@
 
 /// Added to the time a load should take before an order counts as lost: the list shows an engine's
 /// layers with a lag of about two seconds.
-const ORDER_SLACK_MS: u64 = 4_000;
+const ORDER_TIMEOUT_MARGIN_MS: u64 = 4_000;
 /// Pause before an engine that did not take an order is given one again; until then the plan does
 /// without it. Of the order of the time that an engine needs to carry out the order before.
-const REFUSED_PAUSE_MS: u64 = 1_500;
+const REFUSAL_BACKOFF_MS: u64 = 1_500;
 /// How long a zone must have lacked a layer before its engines are laid out anew. Engines that died
 /// or crawl are back after two to five seconds as a rule; until then other zones do its work.
-const LAY_OUT_AFTER_MS: u64 = 6_000;
+const RELAYOUT_DELAY_MS: u64 = 6_000;
 
 /// An order to one engine to hold a range of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -31,21 +31,21 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Ordered {
+struct PendingOrder {
     layers: LayerRange,
     /// The engine held other layers before.
     is_move: bool,
-    lost_at_ms: u64,
+    expires_ms: u64,
 }
 
 /// The placement of one model's layers, as the process that holds the lease works on it.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPlanner {
-    ordered: IndexMap<EndpointId, Ordered>,
+    pending: IndexMap<EndpointId, PendingOrder>,
     /// Engines that did not take an order, and when they may be given one again.
     refused_until_ms: IndexMap<EndpointId, u64>,
     /// Since when each availability zone has had a layer that no engine holds.
-    hole_since_ms: IndexMap<ZoneName, u64>,
+    uncovered_since_ms: IndexMap<ZoneName, u64>,
 }
 
 impl PlacementPlanner {
@@ -56,7 +56,7 @@
         model: &EngineModel,
         now_ms: u64,
     ) -> Vec<PlacementOrder> {
-        self.settle(engines, now_ms);
+        self.expire(engines, now_ms);
         let zones: IndexSet<&ZoneName> = engines.iter().map(|engine| &engine.zone).collect();
         let mut orders = Vec::new();
         for zone in zones {
@@ -83,52 +83,58 @@
     ) {
         let engine = engines.iter().find(|engine| engine.id == order.endpoint);
         let is_move = engine.is_some_and(|engine| engine.layers.is_some());
-        self.note(order, is_move, model, now_ms);
+        self.add_pending(order, is_move, model, now_ms);
     }
 
     /// Notes that an engine did not take an order.
     pub fn order_refused(&mut self, endpoint: &EndpointId, now_ms: u64) {
-        self.ordered.shift_remove(endpoint);
-        let until_ms = now_ms + REFUSED_PAUSE_MS;
+        self.pending.shift_remove(endpoint);
+        let until_ms = now_ms + REFUSAL_BACKOFF_MS;
         self.refused_until_ms.insert(endpoint.clone(), until_ms);
     }
 
     /// Forgets since when layers have had no holder: another process looks after them now, and what
     /// becomes of them is not seen here.
     pub fn reset_uncovered_timers(&mut self) {
-        self.hole_since_ms.clear();
+        self.uncovered_since_ms.clear();
     }
 
     /// Takes word of an order that another process gave.
     pub fn order_reported(&mut self, order: PlacementOrder, model: &EngineModel, now_ms: u64) {
-        self.note(order, true, model, now_ms);
+        self.add_pending(order, true, model, now_ms);
     }
 
-    fn note(&mut self, order: PlacementOrder, is_move: bool, model: &EngineModel, now_ms: u64) {
+    fn add_pending(
+        &mut self,
+        order: PlacementOrder,
+        is_move: bool,
+        model: &EngineModel,
+        now_ms: u64,
+    ) {
         let share = u64::from(order.layers.len()) * model.load_ms;
         let load_ms = share / u64::from(model.layers.max(1));
-        let ordered = Ordered {
+        let ordered = PendingOrder {
             layers: order.layers,
             is_move,
-            lost_at_ms: now_ms + 2 * load_ms + ORDER_SLACK_MS,
+            expires_ms: now_ms + 2 * load_ms + ORDER_TIMEOUT_MARGIN_MS,
         };
-        self.ordered.insert(order.endpoint, ordered);
+        self.pending.insert(order.endpoint, ordered);
     }
 
     /// Drops orders that were carried out, whose engine is gone, or that seem lost.
-    fn settle(&mut self, engines: &[PlacedEngine], now_ms: u64) {
+    fn expire(&mut self, engines: &[PlacedEngine], now_ms: u64) {
         self.refused_until_ms
             .retain(|_, until_ms| now_ms < *until_ms);
-        self.ordered.retain(|id, ordered| {
+        self.pending.retain(|id, ordered| {
             let engine = engines.iter().find(|engine| engine.id == *id);
             engine.is_some_and(|it| it.layers != Some(ordered.layers))
-                && now_ms < ordered.lost_at_ms
+                && now_ms < ordered.expires_ms
         });
     }
 
     /// What an engine holds or is about to hold.
-    fn future(&self, engine: &PlacedEngine) -> Option<LayerRange> {
-        let ordered = self.ordered.get(&engine.id).map(|it| it.layers);
+    fn planned_layers(&self, engine: &PlacedEngine) -> Option<LayerRange> {
+        let ordered = self.pending.get(&engine.id).map(|it| it.layers);
         ordered
             .or(engine.layers)
             .filter(|layers| !layers.is_empty())
@@ -145,19 +151,22 @@
         let sound = engines.iter().filter(|engine| !engine.is_very_slow);
         let held = sound.filter_map(|engine| self.held_range(engine, model));
         let mut coverage = Coverage::of(model.layers, held);
-        let mut orders = self.fill_empty(engines, &counts, &mut coverage, model);
-        if !coverage.has_hole() {
-            self.hole_since_ms.shift_remove(zone);
+        let mut orders = self.assign_empty_engines(engines, &counts, &mut coverage, model);
+        if !coverage.has_gap() {
+            self.uncovered_since_ms.shift_remove(zone);
             return orders;
         }
-        let since_ms = *self.hole_since_ms.entry(zone.clone()).or_insert(now_ms);
+        let since_ms = *self
+            .uncovered_since_ms
+            .entry(zone.clone())
+            .or_insert(now_ms);
         if self.is_moving(engines) {
             return orders;
         }
-        match self.fill_hole(engines, &counts, &coverage, model) {
+        match self.cover_gap(engines, &counts, &coverage, model) {
             Some(order) => orders.push(order),
-            None if orders.is_empty() && now_ms >= since_ms + LAY_OUT_AFTER_MS => {
-                orders = self.lay_out(engines, &counts, model);
+            None if orders.is_empty() && now_ms >= since_ms + RELAYOUT_DELAY_MS => {
+                orders = self.relayout(engines, &counts, model);
             }
             None => {}
         }
@@ -167,32 +176,32 @@
     /// Gives every empty engine its layers. Where engines of the zone hold some already, layers
     /// without holder come first, each from the engine that loads least for it. Otherwise a zone
     /// whose engines return from a crash would stay slow: they would be given layers that are held.
-    fn fill_empty(
+    fn assign_empty_engines(
         &self,
         engines: &[&PlacedEngine],
         counts: &LayerCounts,
         coverage: &mut Coverage,
         model: &EngineModel,
     ) -> Vec<PlacementOrder> {
-        let is_empty = |it: &&PlacedEngine| self.future(it).is_none() && self.may_order(it);
+        let is_empty = |it: &&PlacedEngine| self.planned_layers(it).is_none() && self.may_order(it);
         let mut empty: Vec<&PlacedEngine> = engines.iter().copied().filter(is_empty).collect();
-        empty.sort_by(|a, b| first_to_place(a, b, counts, model));
+        empty.sort_by(|a, b| placement_order(a, b, counts, model));
         let is_repair = empty.len() < engines.len();
         let mut orders = Vec::new();
         while !empty.is_empty() {
-            let next = if is_repair && coverage.has_hole() {
-                closes_holes_soonest(&empty, counts, coverage, model)
+            let next = if is_repair && coverage.has_gap() {
+                best_gap_filler(&empty, counts, coverage, model)
             } else {
                 0
             };
             let engine = empty.remove(next);
             let step_factor = step_factor(engine, model);
             let count = counts.as_only_holder(&engine.id).unwrap_or(0);
-            let mut range = coverage.neediest(count, step_factor);
+            let mut range = coverage.best_window(count, step_factor);
             // A much faster engine runs what the present holders ran, so it needs the whole room.
-            if range.is_some_and(|range| !coverage.is_carried_by(range)) {
+            if range.is_some_and(|range| !coverage.would_be_used(range)) {
                 let count = counts.as_copy(&engine.id).unwrap_or(0);
-                range = coverage.neediest(count, step_factor);
+                range = coverage.best_window(count, step_factor);
             }
             if let Some(range) = range {
                 coverage.add(range);
@@ -207,36 +216,38 @@
 
     fn held_range(&self, engine: &PlacedEngine, model: &EngineModel) -> Option<HeldRange> {
         Some(HeldRange {
-            layers: self.future(engine)?,
+            layers: self.planned_layers(engine)?,
             step_factor: step_factor(engine, model),
         })
     }
 
     /// Moves one engine whose layers all have another holder to where layers have none.
-    fn fill_hole(
+    fn cover_gap(
         &self,
         engines: &[&PlacedEngine],
         counts: &LayerCounts,
         coverage: &Coverage,
         model: &EngineModel,
     ) -> Option<PlacementOrder> {
-        let before = coverage.holes();
+        let before = coverage.uncovered_layers();
         let mut best: Option<((u32, u64), PlacementOrder)> = None;
         let fit = |engine: &&&PlacedEngine| !engine.is_very_slow && self.may_order(engine);
         for engine in engines.iter().filter(fit) {
-            let (Some(_), Some(count)) = (self.future(engine), counts.as_only_holder(&engine.id))
-            else {
+            let (Some(_), Some(count)) = (
+                self.planned_layers(engine),
+                counts.as_only_holder(&engine.id),
+            ) else {
                 continue;
             };
             let others = engines.iter().filter(|other| other.id != engine.id);
             let others = others.filter(|other| !other.is_very_slow);
             let others = others.filter_map(|other| self.held_range(other, model));
             let mut without = Coverage::of(model.layers, others);
-            let Some(target) = without.neediest(count, step_factor(engine, model)) else {
+            let Some(target) = without.best_window(count, step_factor(engine, model)) else {
                 continue;
             };
             without.add(target);
-            let after = without.holes();
+            let after = without.uncovered_layers();
             let rank = (after, engine.held_token_layers);
             if after < before && best.as_ref().is_none_or(|(least, _)| rank < *least) {
                 let order = PlacementOrder {
@@ -251,7 +262,7 @@
 
     /// Lays the engines of a zone out anew, where no single move closes a hole: each keeps about
     /// its place, and only boundaries shift.
-    fn lay_out(
+    fn relayout(
         &self,
         engines: &[&PlacedEngine],
         counts: &LayerCounts,
@@ -270,7 +281,7 @@
             let overlap = |engine: &&&PlacedEngine| {
                 let count = count_of(engine);
                 let window = window_from(next, count, model.layers);
-                let held = self.future(engine);
+                let held = self.planned_layers(engine);
                 (held.map_or(0, |held| overlap(held, window)), count)
             };
             let Some(best) = left.iter().enumerate().max_by_key(|(_, it)| overlap(it)) else {
@@ -280,7 +291,7 @@
             let engine = left.swap_remove(best.0);
             let layers = window_from(next, count_of(engine), model.layers);
             next = layers.end;
-            if self.future(engine) != Some(layers) {
+            if self.planned_layers(engine) != Some(layers) {
                 orders.push(PlacementOrder {
                     endpoint: engine.id.clone(),
                     layers,
@@ -294,7 +305,7 @@
     /// layers out of service until it is done.
     fn is_moving(&self, engines: &[&PlacedEngine]) -> bool {
         let moves = |engine: &&&PlacedEngine| {
-            let ordered = self.ordered.get(&engine.id);
+            let ordered = self.pending.get(&engine.id);
             ordered.is_some_and(|it| it.is_move)
         };
         engines.iter().any(|engine| moves(&engine))
@@ -311,7 +322,7 @@
 /// which make chains short. A stream that runs faster holds its tokens for a shorter time: with the
 /// largest first, slow engines would be the only holders of many layers where kinds differ much in speed,
 /// and memory would run full at the usual load.
-fn first_to_place(
+fn placement_order(
     a: &PlacedEngine,
     b: &PlacedEngine,
     counts: &LayerCounts,
@@ -330,7 +341,7 @@
 
 /// Which of these engines leaves the fewest layers without a holder, and of equal ones the one that
 /// has to load the fewest: a zone that lacks one layer serves nothing until it is loaded.
-fn closes_holes_soonest(
+fn best_gap_filler(
     empty: &[&PlacedEngine],
     counts: &LayerCounts,
     coverage: &Coverage,
@@ -339,10 +350,10 @@
     let rank = |engine: &PlacedEngine| {
         let count = counts.as_only_holder(&engine.id).unwrap_or(0);
         let mut after = coverage.clone();
-        if let Some(range) = coverage.neediest(count, step_factor(engine, model)) {
+        if let Some(range) = coverage.best_window(count, step_factor(engine, model)) {
             after.add(range);
         }
-        (after.holes(), count)
+        (after.uncovered_layers(), count)
     };
     let ranks = empty.iter().map(|engine| rank(engine)).enumerate();
     ranks.min_by_key(|(_, rank)| *rank).map_or(0, |(at, _)| at)
--- a/src/placement/sizing.rs
+++ b/src/placement/sizing.rs
@@ -10,17 +10,17 @@
 /// Usual requests for which every engine keeps room beside its layers. A zone with traffic of 24
 /// requests a second, each about 3 s long, has 72 under way at every layer; when an engine is
 /// lost, another one that holds its layers gets up to twice that.
-const ROOM_REQUESTS: f64 = 120.0;
+const RESERVED_REQUESTS: f64 = 120.0;
 /// The least room, in usual requests, where a zone could not hold every layer otherwise.
-const LEAST_ROOM_REQUESTS: f64 = 8.0;
+const MIN_RESERVED_REQUESTS: f64 = 8.0;
 
 /// Part of the usual room that an engine keeps where it is the second holder of its layers: the two
 /// share what is there. With the whole room three small engines hold 24 of a large one's 27 layers,
 /// and its loss stops the zone.
-const COPY_ROOM: f64 = 0.5;
+const COPY_RESERVE_FRACTION: f64 = 0.5;
 
 /// Most layers that fit beside room for `requests` usual requests.
-fn layers_beside(model: &EngineModel, kind: &EngineKind, requests: f64) -> u16 {
+fn layers_that_fit(model: &EngineModel, kind: &EngineKind, requests: f64) -> u16 {
     let usual_tokens = (model.usual_prompt_tokens + model.usual_answer_tokens).max(1) as f64;
     let tokens = usual_tokens * requests;
     let layer_token_mb = model.token_kv_bytes / f64::from(model.layers.max(1)) / 1e6;
@@ -35,19 +35,19 @@
 /// How many layers each engine of an availability zone holds.
 #[derive(Clone, Debug)]
 pub(super) struct LayerCounts {
-    only: IndexMap<EndpointId, u16>,
-    copy: IndexMap<EndpointId, u16>,
+    as_only_holder: IndexMap<EndpointId, u16>,
+    as_copy: IndexMap<EndpointId, u16>,
 }
 
 impl LayerCounts {
     /// Where some of its layers have no other holder; `None` for a kind that the table does not name.
     pub(super) fn as_only_holder(&self, engine: &EndpointId) -> Option<u16> {
-        self.only.get(engine).copied()
+        self.as_only_holder.get(engine).copied()
     }
 
     /// Where all of its layers have another holder.
     pub(super) fn as_copy(&self, engine: &EndpointId) -> Option<u16> {
-        self.copy.get(engine).copied()
+        self.as_copy.get(engine).copied()
     }
 }
 
@@ -60,20 +60,20 @@
             .iter()
             .filter_map(|engine| {
                 let kind = model.kinds.get(&engine.kind)?;
-                Some((engine.id.clone(), layers_beside(model, kind, requests)))
+                Some((engine.id.clone(), layers_that_fit(model, kind, requests)))
             })
             .collect()
     };
-    let mut requests = ROOM_REQUESTS;
+    let mut requests = RESERVED_REQUESTS;
     loop {
         let counts = counts_for(requests);
         let sum: u32 = counts.values().map(|count| u32::from(*count)).sum();
-        if sum >= u32::from(model.layers) || requests <= LEAST_ROOM_REQUESTS {
+        if sum >= u32::from(model.layers) || requests <= MIN_RESERVED_REQUESTS {
             return LayerCounts {
-                only: counts,
-                copy: counts_for(requests * COPY_ROOM),
+                as_only_holder: counts,
+                as_copy: counts_for(requests * COPY_RESERVE_FRACTION),
             };
         }
-        requests = (requests * 0.8).max(LEAST_ROOM_REQUESTS);
+        requests = (requests * 0.8).max(MIN_RESERVED_REQUESTS);
     }
 }
