--- a/src/orders/capacity.rs
+++ b/src/orders/capacity.rs
@@ -1,4 +1,4 @@
-//! What a set of engines can generate, layer by layer.
+//! Token rates of a set of engines, by layer.
 
 use indexmap::IndexMap;
 
@@ -12,7 +12,7 @@
 }
 
 impl Capacity {
-    /// Nothing holds any of `layers` layers.
+    /// Capacity of a model with `layers` layers and no engines.
     pub(super) fn new(layers: u16) -> Self {
         Self {
             layers: usize::from(layers),
@@ -20,22 +20,22 @@
         }
     }
 
-    /// Adds an engine under a version.
+    /// Adds an engine that holds `layers` in a version.
     pub(super) fn add(&mut self, state: &EngineState, version: &str, layers: LayerRange) {
         self.change(version, layers, rate(state));
     }
 
-    /// Takes an engine away.
+    /// Removes an engine that holds `layers` in a version.
     pub(super) fn remove(&mut self, state: &EngineState, version: &str, layers: LayerRange) {
         self.change(version, layers, -rate(state));
     }
 
-    /// Tokens a second over all versions. A token needs every layer in one version.
+    /// Tokens per second over all versions. A token needs every layer in the same version.
     pub(super) fn usable(&self) -> f64 {
         self.versions.values().map(|rates| lowest(rates)).sum()
     }
 
-    /// Tokens a second if every engine held one version.
+    /// Tokens per second if all engines held the same version.
     pub(super) fn full(&self) -> f64 {
         let mut sums = vec![0.0; self.layers];
         for rates in self.versions.values() {
@@ -46,7 +46,7 @@
         lowest(&sums)
     }
 
-    /// The least that a version has of these layers, as a part of all that hold them.
+    /// Smallest share that a version has of the capacity of any of these layers.
     pub(super) fn min_share(&self, version: &str, layers: LayerRange) -> f64 {
         let range = usize::from(layers.first)..usize::from(layers.end);
         let part = |layer: usize| {
@@ -66,14 +66,14 @@
         let rates = rates.or_insert_with(|| vec![0.0; count]);
         let range = usize::from(layers.first)..usize::from(layers.end);
         for rate in rates.iter_mut().take(range.end).skip(range.start) {
-            // Sums of differences leave crumbs that must not count as capacity.
+            // Rounding errors of repeated additions must not count as capacity.
             let sum = *rate + by;
             *rate = if sum < 1e-9 { 0.0 } else { sum };
         }
     }
 }
 
-/// Tokens a second through the layers that the engine holds.
+/// Tokens per second through the layers that the engine holds.
 fn rate(state: &EngineState) -> f64 {
     let layers = f64::from(state.layers.len().max(1));
     state.layer_tokens_per_s.max(0.0) / layers
--- a/src/orders/desired.rs
+++ b/src/orders/desired.rs
@@ -1,4 +1,4 @@
-//! What an engine should hold.
+//! The assignment that an engine should hold.
 
 use indexmap::IndexMap;
 
@@ -7,7 +7,7 @@
 
 use super::view::EngineView;
 
-/// What the engine should hold; `None` if it is to be left alone.
+/// The assignment that the engine should hold; `None` if it should not change.
 pub(super) fn desired(
     models: &IndexMap<String, ModelOffer>,
     engines: &[EngineView<'_>],
@@ -36,7 +36,7 @@
     }
 }
 
-/// Of the ranges that engines of the model hold, the one with the lowest rate.
+/// The range with the lowest token rate, of those that engines of the model hold.
 fn slowest_range(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Option<LayerRange> {
     let mut rates: IndexMap<LayerRange, f64> = IndexMap::new();
     let states = engines.iter().filter_map(|engine| engine.state);
--- a/src/orders/mod.rs
+++ b/src/orders/mod.rs
@@ -1,7 +1,7 @@
-//! Orders to engines: what each should hold, and which of them may change it now.
+//! Orders to engines: what each engine should hold, and which engines may change now.
 //!
-//! The plan is a pure function of the documents and of what the engines say, so it is repeated
-//! until they agree; a stale order is repaired by the next look.
+//! The plan is a pure function of the documents and the engines' states. It is recomputed until
+//! both agree, so an outdated order is corrected the next time.
 
 mod capacity;
 mod desired;
--- a/src/orders/plan.rs
+++ b/src/orders/plan.rs
@@ -1,4 +1,4 @@
-//! Which engines are ordered to change now.
+//! Selection of the engines that are ordered to change now.
 
 use indexmap::IndexMap;
 
@@ -10,19 +10,19 @@
 use super::desired::desired;
 use super::view::EngineView;
 
-/// Most engines that load weights for one service at once; the weight store limits its rate.
+/// Maximum number of engines that load weights for one service at the same time; the weight store
+/// limits its rate.
 const MAX_CONCURRENT_LOADS: usize = 4;
-/// Part of the full capacity that may be away at any load.
+/// Fraction of the full capacity that may be unavailable at any load.
 const MAX_UNAVAILABLE_FRACTION: f64 = 0.25;
-/// Capacity kept over what is in use.
+/// Factor of the kept capacity over the capacity in use.
 const HEADROOM: f64 = 1.25;
 
-/// What to order now.
+/// Orders to send now.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Plan {
-    /// Orders to send.
     pub(crate) orders: Vec<(EndpointId, EngineAssignment)>,
-    /// Engines that do not hold what they should, those under order included.
+    /// Engines that do not hold their assignment, including those with a pending order.
     pub(crate) unfinished: usize,
 }
 
@@ -33,10 +33,10 @@
     desired: EngineAssignment,
 }
 
-/// Works out the orders. `models` are those of one service.
+/// Computes the orders. `models` are those of one service.
 pub(crate) fn plan(models: &IndexMap<String, ModelOffer>, engines: &[EngineView<'_>]) -> Plan {
     let mut plan = Plan::default();
-    let mut under_way = 0;
+    let mut in_progress = 0;
     let mut candidates = Vec::new();
     for engine in engines.iter().filter(|engine| !engine.leaving) {
         let Some(state) = engine.state else {
@@ -50,7 +50,7 @@
         }
         plan.unfinished += 1;
         if engine.ordered == Some(&desired) {
-            under_way += 1;
+            in_progress += 1;
         } else {
             candidates.push(Candidate {
                 engine,
@@ -60,18 +60,19 @@
         }
     }
     for offer in models.values() {
-        let own = candidates
+        let of_offer = candidates
             .iter()
             .filter(|it| it.desired.model == offer.name);
-        let own: Vec<&Candidate<'_>> = own.collect();
-        let free = MAX_CONCURRENT_LOADS.saturating_sub(under_way + plan.orders.len());
-        plan.orders.extend(select_orders(offer, engines, own, free));
+        let of_offer: Vec<&Candidate<'_>> = of_offer.collect();
+        let free = MAX_CONCURRENT_LOADS.saturating_sub(in_progress + plan.orders.len());
+        plan.orders
+            .extend(select_orders(offer, engines, of_offer, free));
     }
     plan
 }
 
-/// Chooses up to `free` engines of one model, one after the other, each time the one whose layers
-/// have least of the new version, so that whole chains of it come about early.
+/// Selects up to `free` engines of one model, one by one. Each time it takes the engine whose
+/// layers have the smallest share of the new version, so that complete chains of it exist early.
 fn select_orders(
     offer: &ModelOffer,
     engines: &[EngineView<'_>],
@@ -80,7 +81,7 @@
 ) -> Vec<(EndpointId, EngineAssignment)> {
     let mut available = available_capacity(offer, engines);
     let mut planned = planned_capacity(offer, engines);
-    let least = min_capacity(offer, engines);
+    let minimum = min_capacity(offer, engines);
     let mut chosen = Vec::new();
     while chosen.len() < free && !candidates.is_empty() {
         let next = candidates
@@ -92,12 +93,12 @@
         let candidate = candidates.remove(next);
         let state = candidate.state;
         if candidate.desired.disturbs(state) && state.model == offer.name {
-            let mut without = available.clone();
-            without.remove(state, &state.version, state.layers);
-            if without.usable() < least {
+            let mut remaining = available.clone();
+            remaining.remove(state, &state.version, state.layers);
+            if remaining.usable() < minimum {
                 continue;
             }
-            available = without;
+            available = remaining;
         }
         planned.remove(state, &state.version, state.layers);
         planned.add(state, &offer.version, candidate.desired.layers);
@@ -108,15 +109,15 @@
 
 fn rank<'a>(
     offer: &ModelOffer,
-    then: &Capacity,
+    planned: &Capacity,
     candidate: &Candidate<'a>,
 ) -> (f64, (u32, &'a EndpointId)) {
-    let part = then.min_share(&offer.version, candidate.desired.layers);
+    let part = planned.min_share(&offer.version, candidate.desired.layers);
     let busy = candidate.state.running + candidate.state.waiting;
     (part, (busy, candidate.engine.endpoint))
 }
 
-/// Capacity of the engines that take new work and are not about to stop.
+/// Capacity of the engines that accept new work and are not about to stop.
 fn available_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
     let mut capacity = Capacity::new(offer.layers);
     for (engine, state) in of_model(offer, engines) {
@@ -128,7 +129,7 @@
     capacity
 }
 
-/// Capacity once every order under way is fulfilled.
+/// Capacity once all pending orders are carried out.
 fn planned_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
     let mut capacity = Capacity::new(offer.layers);
     for (engine, state) in of_model(offer, engines) {
@@ -140,8 +141,9 @@
     capacity
 }
 
-/// Capacity that must stay: what is in use with some headroom, but not more than leaves
-/// [`MAX_UNAVAILABLE_FRACTION`]. Always more than nothing, so that no layer is left without an engine.
+/// Capacity that must remain: the capacity in use plus headroom, but at most what
+/// [`MAX_UNAVAILABLE_FRACTION`] leaves. Always positive, so that no layer is left without an
+/// engine.
 fn min_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> f64 {
     let mut all = Capacity::new(offer.layers);
     let mut slots = 0;
--- a/src/orders/tests.rs
+++ b/src/orders/tests.rs
@@ -1,4 +1,4 @@
-//! Plans keep whole chains and the capacity in use, and come to an end.
+//! Plans keep complete chains and the capacity in use, and finish.
 
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Engines and the orders that they have not fulfilled.
+/// Engines with their pending orders.
 struct Fleet {
     engines: Vec<(EngineState, Option<EngineAssignment>)>,
 }
@@ -74,25 +74,25 @@
         }
     }
 
-    /// Engine number `index` of those under order fulfils it.
-    fn fulfil(&mut self, index: usize) {
-        let mut under_order: Vec<_> = self
+    /// Carries out the order at `index` of the pending ones.
+    fn carry_out(&mut self, index: usize) {
+        let mut pending: Vec<_> = self
             .engines
             .iter_mut()
             .filter(|(_, ordered)| ordered.is_some())
             .collect();
-        if under_order.is_empty() {
+        if pending.is_empty() {
             return;
         }
-        let index = index % under_order.len();
-        let (state, ordered) = &mut *under_order[index];
+        let index = index % pending.len();
+        let (state, ordered) = &mut *pending[index];
         if let Some(desired) = ordered.take() {
             state.version = desired.version;
             state.adapters = desired.adapters;
         }
     }
 
-    /// Whether engines without an order hold every layer in one version.
+    /// Whether engines without a pending order hold every layer in one version.
     fn has_whole_chain(&self) -> bool {
         ["v1", "v2"].iter().any(|version| {
             (0..LAYERS).all(|layer| {
@@ -133,7 +133,7 @@
             let plan = fleet.plan(&offers);
             fleet.order(plan.orders);
             prop_assert!(fleet.has_whole_chain());
-            fleet.fulfil(pick);
+            fleet.carry_out(pick);
         }
         prop_assert!(fleet.all_hold("v2"));
         prop_assert_eq!(fleet.plan(&offers).unfinished, 0);
@@ -155,7 +155,7 @@
 
 #[test]
 fn capacity_in_use_stays() {
-    // Two engines a range, all busy: to take one would halve what is in use.
+    // Two busy engines for each range: stopping one would halve the capacity in use.
     let names = [("f1", 0), ("f2", 0), ("b1", 4), ("b2", 4)];
     let engines = |busy| names.map(|(name, first)| engine(name, first, first + 4, busy));
     let busy = Fleet::new(engines(10).to_vec());
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_sole_engine_of_a_layer_is_never_taken_away() {
+fn the_only_engine_of_a_layer_is_never_stopped() {
     let fleet = Fleet::new(vec![engine("f", 0, 4, 0), engine("b", 4, LAYERS, 0)]);
     let plan = fleet.plan(&offer("v2", &[]));
     assert_eq!((plan.orders.len(), plan.unfinished), (0, 2));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_engine_without_a_model_gets_the_weakest_layers() {
+fn an_engine_without_a_model_gets_the_slowest_layers() {
     let mut spare = engine("s", 0, 0, 0);
     spare.model = String::new();
     let engines = vec![
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn an_engine_that_holds_what_it_should_is_left_alone() {
+fn an_engine_that_holds_its_assignment_gets_no_order() {
     let fleet = Fleet::new(vec![engine("f", 0, 4, 0), engine("b", 4, LAYERS, 0)]);
     assert_eq!(fleet.plan(&offer("v1", &[])), super::plan::Plan::default());
 }
--- a/src/orders/view.rs
+++ b/src/orders/view.rs
@@ -1,17 +1,16 @@
-//! What the lease's holder knows of one engine.
+//! What the lease holder knows about one engine.
 
 use crate::ids::EndpointId;
 use crate::wire::engine::{EngineAssignment, EngineState};
 
-/// An engine as the lease's holder sees it.
+/// An engine from the point of view of the lease holder.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineView<'a> {
-    /// Engine.
     pub(crate) endpoint: &'a EndpointId,
-    /// What it last said; `None` if it did not answer.
+    /// Last reported state; `None` if it did not respond.
     pub(crate) state: Option<&'a EngineState>,
-    /// Whether it gets no new work for good.
+    /// Whether it is leaving and gets no new work.
     pub(crate) leaving: bool,
-    /// An order that it was sent and has not fulfilled.
+    /// A pending order, which it has not yet carried out.
     pub(crate) ordered: Option<&'a EngineAssignment>,
 }
