--- a/src/lease/mod.rs
+++ b/src/lease/mod.rs
@@ -1,10 +1,10 @@
-//! A lease on the orders to one service's engines, kept as a row of the table service.
+//! A lease on the orders to one service's engines, stored as a row of the table service.
 //!
-//! The row holds a fencing number that only grows. A holder counts its time from before it sent
-//! the write; another instance waits that time, and a margin for clocks that run apart, from after
-//! it first read the row as it stands. So the holder's time is always over first, unless the
-//! holder is paused between its last look at the clock and the send: for that there is the
-//! fencing number, and [`Lease::may_order`] for engines that ignore it.
+//! The row contains a fencing number that only increases. A holder counts the lease time from
+//! before it sent the write. Another instance waits for the lease time, plus a margin for clock
+//! drift, from after it first read the row in its current version. So the lease always ends at the
+//! holder first, unless the holder is paused between its last clock check and the send. The fencing
+//! number covers that case, and [`Lease::may_send_orders`] covers engines that ignore the number.
 
 mod rows;
 #[cfg(test)]
@@ -17,25 +17,25 @@
 use crate::wire::platform::{ReadRows, TransactReply};
 use rows::{LeaseRow, ReadLease, lease_key, lease_write, read_lease};
 
-/// How long a lease holds without renewal.
+/// How long a lease is valid without renewal.
 pub(crate) const LEASE_MS: u64 = 10_000;
-/// Added by those who wait for a lease to run out: two clocks may differ by a tenth.
+/// Added by instances that wait for a lease to expire: two clocks may differ by a tenth.
 pub(crate) const MARGIN_MS: u64 = 1_000;
-/// The longest time an order can be under way to an engine.
+/// Longest time that an order can be in transit to an engine.
 pub(crate) const MAX_ORDER_DELAY_MS: u64 = 5_000;
 
-/// Times of a lease. All processes that may hold it must go by the same ones.
+/// Timing of a lease. All processes that may hold it must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseTiming {
-    /// How long the lease holds without renewal.
+    /// How long the lease is valid without renewal.
     pub(crate) lease_ms: u64,
-    /// Added by those who wait for it to run out: two clocks may differ by a tenth.
+    /// Added by processes that wait for it to expire: two clocks may differ by a tenth.
     pub(crate) margin_ms: u64,
-    /// Pause between two renewals.
+    /// Interval between renewals.
     pub(crate) renew_ms: u64,
-    /// Pause between two looks at a lease that another holds.
+    /// Interval between reads of a lease that another process holds.
     pub(crate) watch_ms: u64,
-    /// Pause after a call that failed.
+    /// Delay after a failed call.
     pub(crate) retry_ms: u64,
 }
 
@@ -51,48 +51,43 @@
     }
 }
 
-/// What came of an answer.
+/// Effect of a reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LeaseEvent {
-    /// This process holds the lease now, under this fencing number.
-    Taken {
-        /// Fencing number.
-        fence: u64,
-    },
-    /// This process holds it no more.
+    /// This process has acquired the lease.
+    Taken { fence: u64 },
+    /// This process no longer holds the lease.
     Lost,
 }
 
-/// A lease in force at this process.
+/// A lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeldLease {
-    /// Fencing number.
     pub(crate) fence: u64,
-    /// End, on the clock of `now_ms`.
+    /// Expiry, on the clock of `now_ms`.
     pub(crate) valid_until_ms: u64,
 }
 
-/// The process that holds the lease, as the row was last read.
+/// The process that holds the lease, as last read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseHolder {
-    /// Its instance.
+    /// Instance of the process.
     pub(crate) instance: InstanceId,
-    /// The process.
+    /// Incarnation of the process.
     pub(crate) incarnation: Incarnation,
-    /// Fencing number.
     pub(crate) fence: u64,
-    /// Whether it was seen to renew the lease: it lives, whatever else seems so.
+    /// Whether it was seen to renew the lease, which proves that it is alive.
     pub(crate) has_renewed: bool,
 }
 
-/// The row as another instance left it.
+/// The row as left by another process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ObservedRow {
     version: u64,
     row: LeaseRow,
-    /// When it was first read like this.
+    /// When this version was first read.
     since_ms: u64,
-    /// It was read before under the same fencing number and another version.
+    /// It was read before with the same fencing number and another version.
     has_renewed: bool,
 }
 
@@ -101,45 +96,45 @@
     fence: u64,
     version: u64,
     valid_until_ms: u64,
-    /// When orders may begin at engines that ignore the fencing number.
+    /// Time from which orders may go to engines that ignore the fencing number.
     unfenced_from_ms: u64,
 }
 
-/// A write without a reply that was understood.
+/// A write whose outcome is not yet known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct PendingWrite {
     fence: u64,
-    at_ms: u64,
+    sent_ms: u64,
     unfenced_from_ms: u64,
 }
 
-/// The lease of one service, as one process works on it.
+/// The lease of one service, from the point of view of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct Lease {
-    times: LeaseTiming,
+    timing: LeaseTiming,
     service: ServiceName,
     instance: InstanceId,
     incarnation: Incarnation,
     wanted: bool,
     observed: Option<ObservedRow>,
     holding: Option<Holding>,
-    /// The first write since the last reply that was understood.
+    /// The first write since the last reply that could be interpreted.
     pending_write: Option<PendingWrite>,
-    /// When the last call was sent.
     last_call_ms: u64,
     call_in_flight: bool,
     next_call_ms: u64,
-    /// Highest fencing number seen; never falls.
+    /// Highest fencing number seen; never decreases.
     highest_fence: u64,
     /// Highest fencing number whose holder is known to have ended.
     max_ended_fence: u64,
-    /// Highest fencing number of a write of this process that may yet take effect, late. It is not
-    /// used again: the row it leaves would pass for that of a later write, with a later end.
+    /// Highest fencing number of a write of this process that may still take effect late. It is not
+    /// reused: the row left by that write would be mistaken for the row of a later write, which
+    /// expires later.
     max_unconfirmed_fence: u64,
 }
 
 impl Lease {
-    /// Nothing is known of the row, and nothing is wanted.
+    /// Creates a lease that is not wanted and whose row has not been read.
     pub(crate) fn new(
         service: ServiceName,
         instance: InstanceId,
@@ -148,15 +143,15 @@
         Self::with_times(service, instance, incarnation, LeaseTiming::default())
     }
 
-    /// The same under other times.
+    /// Like [`Self::new`], with other timing.
     pub(crate) fn with_times(
         service: ServiceName,
         instance: InstanceId,
         incarnation: Incarnation,
-        times: LeaseTiming,
+        timing: LeaseTiming,
     ) -> Self {
         Self {
-            times,
+            timing,
             service,
             instance,
             incarnation,
@@ -173,7 +168,7 @@
         }
     }
 
-    /// Says whether the lease is wanted. One that is held and not wanted is given back.
+    /// Sets whether the lease is wanted. A lease that is held but not wanted is released.
     pub(crate) fn want(&mut self, wanted: bool) {
         if self.wanted != wanted {
             self.wanted = wanted;
@@ -181,30 +176,34 @@
         }
     }
 
-    /// The process that holds the lease, if the row was read and is another's.
+    /// The process that holds the lease, if the row has been read and belongs to another process.
     pub(crate) fn holder(&self) -> Option<LeaseHolder> {
-        let seen = self.observed.as_ref().filter(|seen| !seen.row.released)?;
+        let observed = self
+            .observed
+            .as_ref()
+            .filter(|observed| !observed.row.released)?;
         Some(LeaseHolder {
-            instance: seen.row.holder.clone(),
-            incarnation: seen.row.incarnation,
-            fence: seen.row.fence,
-            has_renewed: seen.has_renewed,
+            instance: observed.row.holder.clone(),
+            incarnation: observed.row.incarnation,
+            fence: observed.row.fence,
+            has_renewed: observed.has_renewed,
         })
     }
 
-    /// Takes word that the holder under this fencing number gives no more orders, or that engines
-    /// turn away those that it may still give: its time is not waited out. At engines that ignore
-    /// fencing numbers its orders under way are. Returns whether that is news.
+    /// Records that the holder with this fencing number sends no more orders, or that engines
+    /// reject those that it may still send. Its lease time is then not waited for, but at engines
+    /// that ignore fencing numbers its orders in transit still are. Returns whether this was not
+    /// known before.
     pub(crate) fn record_holder_ended(&mut self, fence: u64) -> bool {
-        let is_news = fence > self.max_ended_fence;
-        if is_news {
+        let is_new = fence > self.max_ended_fence;
+        if is_new {
             self.max_ended_fence = fence;
             self.next_call_ms = 0;
         }
-        is_news
+        is_new
     }
 
-    /// The lease, if it is in force at this process.
+    /// The lease, if this process holds it now.
     pub(crate) fn held(&self, now_ms: u64) -> Option<HeldLease> {
         let holding = self.holding.filter(|it| now_ms < it.valid_until_ms)?;
         Some(HeldLease {
@@ -213,8 +212,8 @@
         })
     }
 
-    /// The lease, if an order may be sent under it now. Where engines ignore the fencing number,
-    /// orders of the last holder may still be under way for a while.
+    /// The lease, if an order may be sent under it now. If engines ignore the fencing number,
+    /// orders of the previous holder may still be in transit for a while.
     pub(crate) fn may_send_orders(
         &self,
         engines_check_fence: bool,
@@ -225,7 +224,7 @@
         self.held(now_ms).filter(|_| waited)
     }
 
-    /// The call to make now, if one is due.
+    /// The call to make now, if any.
     pub(crate) fn due(&mut self, now_ms: u64) -> Option<TableCall> {
         if self.call_in_flight || now_ms < self.next_call_ms {
             return None;
@@ -236,14 +235,14 @@
         Some(call)
     }
 
-    /// Takes the answer to the last call.
+    /// Handles the reply to the last call.
     pub(crate) fn answered(
         &mut self,
         result: Result<TableReply, TableFailure>,
         now_ms: u64,
     ) -> Option<LeaseEvent> {
         self.call_in_flight = false;
-        self.next_call_ms = now_ms + self.times.retry_ms;
+        self.next_call_ms = now_ms + self.timing.retry_ms;
         match result {
             Ok(TableReply::Transacted(TransactReply::Committed { version })) => {
                 self.write_committed(version, now_ms)
@@ -269,7 +268,7 @@
                 self.acquire(now_ms)
             }
             (None, true) => {
-                self.next_call_ms = now_ms + self.times.watch_ms;
+                self.next_call_ms = now_ms + self.timing.watch_ms;
                 Some(TableCall::Read(ReadRows {
                     keys: vec![lease_key(&self.service)],
                 }))
@@ -278,31 +277,34 @@
         }
     }
 
-    /// Whether the row as last read may be taken over now.
+    /// Whether the row as last read allows this process to take over.
     fn can_take_over(&self, now_ms: u64) -> bool {
-        self.observed.as_ref().is_some_and(|seen| {
-            // An instance runs one process at a time; what this process holds itself it waits for.
-            let has_ended =
-                seen.row.holder == self.instance && seen.row.incarnation != self.incarnation;
-            seen.row.released
+        self.observed.as_ref().is_some_and(|observed| {
+            // An instance runs one process at a time, so another incarnation on this instance has
+            // ended. A row of this process itself has to expire.
+            let has_ended = observed.row.holder == self.instance
+                && observed.row.incarnation != self.incarnation;
+            observed.row.released
                 || has_ended
-                || seen.row.fence <= self.max_ended_fence
-                || now_ms >= seen.since_ms + self.times.lease_ms + self.times.margin_ms
+                || observed.row.fence <= self.max_ended_fence
+                || now_ms >= observed.since_ms + self.timing.lease_ms + self.timing.margin_ms
         })
     }
 
     fn acquire(&mut self, now_ms: u64) -> Option<TableCall> {
         let last = self.observed.as_ref();
         let fence = last
-            .map_or(0, |seen| seen.row.fence)
+            .map_or(0, |observed| observed.row.fence)
             .max(self.max_unconfirmed_fence)
             + 1;
-        let was_idle = last.is_none_or(|seen| seen.row.released || seen.row.fence == 0);
+        let was_idle = last.is_none_or(|observed| observed.row.released || observed.row.fence == 0);
         let wait_ms = if was_idle { 0 } else { MAX_ORDER_DELAY_MS };
-        let version = last.map(|seen| seen.version).filter(|version| *version > 0);
+        let version = last
+            .map(|observed| observed.version)
+            .filter(|version| *version > 0);
         self.pending_write = Some(PendingWrite {
             fence,
-            at_ms: now_ms,
+            sent_ms: now_ms,
             unfenced_from_ms: now_ms + wait_ms,
         });
         self.write(fence, version, false)
@@ -311,13 +313,14 @@
     fn renew(&mut self, holding: Holding, now_ms: u64) -> Option<TableCall> {
         self.pending_write.get_or_insert(PendingWrite {
             fence: holding.fence,
-            at_ms: now_ms,
+            sent_ms: now_ms,
             unfenced_from_ms: holding.unfenced_from_ms,
         });
         self.write(holding.fence, Some(holding.version), false)
     }
 
-    /// Gives the lease back; from here on nothing is sent under it, whatever comes of the write.
+    /// Releases the lease. From here on nothing is sent under it, whatever the outcome of the
+    /// write.
     fn release(&mut self, holding: Holding) -> Option<TableCall> {
         self.holding = None;
         self.pending_write = None;
@@ -337,38 +340,40 @@
     }
 
     fn write_committed(&mut self, version: u64, now_ms: u64) -> Option<LeaseEvent> {
-        // The condition held, so no earlier write took effect: the time is that of this one.
-        let sent = PendingWrite {
-            at_ms: self.last_call_ms,
+        // The condition held, so no earlier write took effect and the time of this one counts.
+        let pending = PendingWrite {
+            sent_ms: self.last_call_ms,
             ..self.pending_write.take()?
         };
-        self.next_call_ms = now_ms + self.times.renew_ms;
-        self.record_holding(sent, version)
+        self.next_call_ms = now_ms + self.timing.renew_ms;
+        self.record_holding(pending, version)
     }
 
     fn call_failed(&mut self, failure: TableFailure) {
-        let is_last = |sent: &PendingWrite| sent.at_ms == self.last_call_ms;
+        let is_last = |pending: &PendingWrite| pending.sent_ms == self.last_call_ms;
         if !failure.may_have_applied() && self.pending_write.as_ref().is_some_and(is_last) {
             self.pending_write = None;
         }
     }
 
-    fn record_holding(&mut self, sent: PendingWrite, version: u64) -> Option<LeaseEvent> {
-        let was = self.holding;
+    fn record_holding(&mut self, pending: PendingWrite, version: u64) -> Option<LeaseEvent> {
+        let previous = self.holding;
         invariant::check(
-            sent.fence >= self.highest_fence,
+            pending.fence >= self.highest_fence,
             "fence_never_falls",
-            || format!("{} after {}", sent.fence, self.highest_fence),
+            || format!("{} after {}", pending.fence, self.highest_fence),
         );
-        self.highest_fence = self.highest_fence.max(sent.fence);
+        self.highest_fence = self.highest_fence.max(pending.fence);
         self.holding = Some(Holding {
-            fence: sent.fence,
+            fence: pending.fence,
             version,
-            valid_until_ms: sent.at_ms + self.times.lease_ms,
-            unfenced_from_ms: sent.unfenced_from_ms,
+            valid_until_ms: pending.sent_ms + self.timing.lease_ms,
+            unfenced_from_ms: pending.unfenced_from_ms,
         });
-        let taken = was.is_none_or(|was| was.fence != sent.fence);
-        taken.then_some(LeaseEvent::Taken { fence: sent.fence })
+        let taken = previous.is_none_or(|previous| previous.fence != pending.fence);
+        taken.then_some(LeaseEvent::Taken {
+            fence: pending.fence,
+        })
     }
 
     fn apply_row(&mut self, read: ReadLease, now_ms: u64) -> Option<LeaseEvent> {
@@ -378,30 +383,31 @@
             ReadLease::Unreadable => return None,
         };
         self.highest_fence = self.highest_fence.max(row.fence);
-        if let Some(sent) = self.pending_write.take() {
-            if self.is_own(&row, &sent) {
-                // A write whose reply was lost took effect; of several the first one sets the time.
-                self.next_call_ms = now_ms + self.times.renew_ms;
-                return self.record_holding(sent, version);
+        if let Some(pending) = self.pending_write.take() {
+            if self.is_own(&row, &pending) {
+                // A write whose reply was lost has taken effect. If there were several, the first
+                // one sets the time.
+                self.next_call_ms = now_ms + self.timing.renew_ms;
+                return self.record_holding(pending, version);
             }
-            self.max_unconfirmed_fence = self.max_unconfirmed_fence.max(sent.fence);
+            self.max_unconfirmed_fence = self.max_unconfirmed_fence.max(pending.fence);
         }
         let lost = self.holding.take().is_some();
         self.observe(version, row, now_ms);
         lost.then_some(LeaseEvent::Lost)
     }
 
-    fn is_own(&self, row: &LeaseRow, sent: &PendingWrite) -> bool {
-        row.incarnation == self.incarnation && row.fence == sent.fence && !row.released
+    fn is_own(&self, row: &LeaseRow, pending: &PendingWrite) -> bool {
+        row.incarnation == self.incarnation && row.fence == pending.fence && !row.released
     }
 
     fn observe(&mut self, version: u64, row: LeaseRow, now_ms: u64) {
         let before = self.observed.as_ref();
-        let same = before.filter(|seen| seen.version == version);
-        let since_ms = same.map_or(now_ms, |seen| seen.since_ms);
-        let has_renewed = before.is_some_and(|seen| {
-            let is_renewal = seen.version != version && seen.row.fence == row.fence;
-            seen.has_renewed && seen.row.fence == row.fence || is_renewal
+        let same = before.filter(|observed| observed.version == version);
+        let since_ms = same.map_or(now_ms, |observed| observed.since_ms);
+        let has_renewed = before.is_some_and(|observed| {
+            let is_renewal = observed.version != version && observed.row.fence == row.fence;
+            observed.has_renewed && observed.row.fence == row.fence || is_renewal
         });
         self.observed = Some(ObservedRow {
             version,
--- a/src/lease/rows.rs
+++ b/src/lease/rows.rs
@@ -1,26 +1,24 @@
-//! The row of a lease: `lease/{service}`.
+//! The row of a lease, `lease/{service}`.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Incarnation, InstanceId, ServiceName};
 use crate::wire::platform::{Condition, Row, Transaction, Write};
 
-/// Who holds a lease. The row is never deleted, so that the fencing number never falls.
+/// Holder of a lease. The row is never deleted, so that the fencing number never decreases.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LeaseRow {
-    /// Holder.
     pub(super) holder: InstanceId,
-    /// The holder's process.
+    /// Incarnation of the holder's process.
     pub(super) incarnation: Incarnation,
-    /// Fencing number.
     pub(super) fence: u64,
-    /// Whether the holder has given it back.
+    /// Whether the holder has released the lease.
     #[serde(default)]
     pub(super) released: bool,
 }
 
 impl LeaseRow {
-    /// What stands for a row that does not exist.
+    /// Stands for a row that does not exist.
     pub(super) fn vacant(instance: &InstanceId, incarnation: Incarnation) -> Self {
         Self {
             holder: instance.clone(),
@@ -34,11 +32,11 @@
 /// The row as read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ReadLease {
-    /// It exists, at this version.
+    /// The row and its version.
     Row(u64, LeaseRow),
-    /// It does not exist.
+    /// The row does not exist.
     Absent,
-    /// Another release wrote it; this one leaves it alone.
+    /// The row was written by another release and is not touched by this one.
     Unreadable,
 }
 
@@ -59,7 +57,7 @@
     }
 }
 
-/// Writes a lease on condition of the row's version; `None` for a row that must not exist.
+/// A transaction that writes a lease if the row is at `version`, or does not exist for `None`.
 pub(super) fn lease_write(
     service: &ServiceName,
     lease: &LeaseRow,
--- a/src/lease/tests.rs
+++ b/src/lease/tests.rs
@@ -1,4 +1,4 @@
-//! Several processes that want one lease, over every order of events.
+//! Several processes that compete for one lease, with random orders of events.
 
 use proptest::prelude::*;
 
@@ -13,31 +13,31 @@
 /// One step of one process.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Makes its call; the table carries it out at once.
+    /// Makes the due call, which the table executes at once.
     Call { process: usize, fate: Fate },
-    /// Time passes for everybody.
+    /// Time passes for all processes.
     Pass { ms: u64 },
-    /// Changes whether it wants the lease.
+    /// Changes whether the process wants the lease.
     Want { process: usize, wanted: bool },
-    /// A call whose reply was lost takes effect only now.
+    /// A call whose reply was lost takes effect now.
     Late { process: usize },
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Fate {
-    Whole,
+    Delivered,
     NotSent,
     AppliedReplyLost,
-    LostThenLate,
+    AppliedLate,
 }
 
 fn step() -> impl Strategy<Value = Step> {
     let process = 0..PROCESSES;
     let fate = prop_oneof![
-        4 => Just(Fate::Whole),
+        4 => Just(Fate::Delivered),
         1 => Just(Fate::NotSent),
         1 => Just(Fate::AppliedReplyLost),
-        1 => Just(Fate::LostThenLate),
+        1 => Just(Fate::AppliedLate),
     ];
     prop_oneof![
         6 => (process.clone(), fate).prop_map(|(process, fate)| Step::Call { process, fate }),
@@ -48,16 +48,16 @@
     ]
 }
 
-struct World {
+struct Simulation {
     now_ms: u64,
     table: FakeTable,
     leases: Vec<Lease>,
     late: Vec<Option<TableCall>>,
-    /// Fencing numbers taken, with their process.
+    /// Fencing numbers under which the lease was acquired, with their process.
     taken: Vec<(u64, usize)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let lease = |index: usize| {
             let mut lease = Lease::new(
@@ -95,13 +95,13 @@
             return;
         };
         let result: Result<TableReply, TableFailure> = match fate {
-            Fate::Whole => Ok(self.table.call(&call)),
+            Fate::Delivered => Ok(self.table.call(&call)),
             Fate::NotSent => Err(TableFailure::NotSent),
             Fate::AppliedReplyLost => {
                 self.table.call(&call);
                 Err(TableFailure::ReplyLost)
             }
-            Fate::LostThenLate => {
+            Fate::AppliedLate => {
                 self.late[process] = Some(call);
                 Err(TableFailure::ReplyLost)
             }
@@ -124,17 +124,17 @@
 
 proptest! {
     #[test]
-    fn never_two_hold_the_lease_and_fences_only_grow(
+    fn at_most_one_process_holds_the_lease_and_fences_only_increase(
         steps in proptest::collection::vec(step(), 1..300),
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.step(step);
-            prop_assert!(world.holders() <= 1);
+            simulation.step(step);
+            prop_assert!(simulation.holders() <= 1);
         }
         let mut highest = 0;
-        for (fence, process) in &world.taken {
-            let mut before = world.taken.iter();
+        for (fence, process) in &simulation.taken {
+            let mut before = simulation.taken.iter();
             prop_assert!(before.all(|(other, by)| other != fence || by == process));
             prop_assert!(*fence >= highest);
             highest = *fence;
@@ -142,119 +142,122 @@
     }
 }
 
-fn drive(world: &mut World, process: usize, for_ms: u64) {
-    let end_ms = world.now_ms + for_ms;
-    while world.now_ms < end_ms {
-        world.call(process, Fate::Whole);
-        world.now_ms += 100;
+fn run(simulation: &mut Simulation, process: usize, for_ms: u64) {
+    let end_ms = simulation.now_ms + for_ms;
+    while simulation.now_ms < end_ms {
+        simulation.call(process, Fate::Delivered);
+        simulation.now_ms += 100;
     }
 }
 
 #[test]
 fn a_lease_is_kept_as_long_as_it_is_renewed() {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
     for _ in 0..100 {
-        drive(&mut world, 0, 500);
-        drive(&mut world, 1, 500);
-        assert!(world.leases[0].held(world.now_ms).is_some());
+        run(&mut simulation, 0, 500);
+        run(&mut simulation, 1, 500);
+        assert!(simulation.leases[0].held(simulation.now_ms).is_some());
     }
-    assert_eq!(world.taken, [(1, 0)]);
+    assert_eq!(simulation.taken, [(1, 0)]);
 }
 
 #[test]
-fn a_lapsed_lease_is_taken_over_under_a_higher_fence() {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
-    drive(&mut world, 1, 15_000);
-    assert_eq!(world.taken, [(1, 0), (2, 1)]);
-    assert_eq!(world.leases[0].held(world.now_ms), None);
+fn an_expired_lease_is_taken_over_under_a_higher_fence() {
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
+    run(&mut simulation, 1, 15_000);
+    assert_eq!(simulation.taken, [(1, 0), (2, 1)]);
+    assert_eq!(simulation.leases[0].held(simulation.now_ms), None);
 }
 
 #[test]
-fn a_lease_given_back_is_taken_at_once() {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
-    world.leases[0].want(false);
-    drive(&mut world, 0, 200);
-    drive(&mut world, 1, 1_500);
-    assert_eq!(world.taken, [(1, 0), (2, 1)]);
+fn a_released_lease_is_acquired_at_once() {
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
+    simulation.leases[0].want(false);
+    run(&mut simulation, 0, 200);
+    run(&mut simulation, 1, 1_500);
+    assert_eq!(simulation.taken, [(1, 0), (2, 1)]);
 }
 
-/// The second process reads the row that the first one holds.
-fn held_by_the_first() -> World {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
-    drive(&mut world, 1, 200);
-    world
+/// The first process holds the lease, and the second one has read the row.
+fn held_by_the_first() -> Simulation {
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
+    run(&mut simulation, 1, 200);
+    simulation
 }
 
 #[test]
-fn a_lease_whose_holder_has_ended_is_taken_at_once() {
-    let mut world = held_by_the_first();
-    let holder = world.leases[1].holder().expect("it was read");
+fn a_lease_whose_holder_has_ended_is_acquired_at_once() {
+    let mut simulation = held_by_the_first();
+    let holder = simulation.leases[1].holder().expect("it was read");
     assert_eq!((holder.fence, holder.has_renewed), (1, false));
-    assert!(world.leases[1].record_holder_ended(holder.fence));
+    assert!(simulation.leases[1].record_holder_ended(holder.fence));
     assert!(
-        !world.leases[1].record_holder_ended(holder.fence),
-        "that is known"
+        !simulation.leases[1].record_holder_ended(holder.fence),
+        "it is already known"
     );
-    drive(&mut world, 1, 300);
-    assert_eq!(world.taken, [(1, 0), (2, 1)]);
+    run(&mut simulation, 1, 300);
+    assert_eq!(simulation.taken, [(1, 0), (2, 1)]);
 }
 
 #[test]
-fn a_holder_that_renews_is_seen_to_live() {
-    let mut world = held_by_the_first();
-    drive(&mut world, 0, 4_000);
-    drive(&mut world, 1, 1_500);
-    let holder = world.leases[1].holder().expect("it was read");
+fn a_holder_that_renews_is_seen_alive() {
+    let mut simulation = held_by_the_first();
+    run(&mut simulation, 0, 4_000);
+    run(&mut simulation, 1, 1_500);
+    let holder = simulation.leases[1].holder().expect("it was read");
     assert!(holder.has_renewed);
 }
 
 #[test]
-fn a_new_process_of_the_holders_instance_takes_the_lease_at_once() {
-    let mut world = held_by_the_first();
+fn a_new_process_of_the_holders_instance_acquires_the_lease_at_once() {
+    let mut simulation = held_by_the_first();
     let service = ServiceName::from("s");
     let instance = InstanceId::from("entry-0");
-    world.leases[2] = Lease::new(service, instance, incarnation(9));
-    world.leases[2].want(true);
-    drive(&mut world, 2, 300);
-    assert_eq!(world.taken, [(1, 0), (2, 2)]);
+    simulation.leases[2] = Lease::new(service, instance, incarnation(9));
+    simulation.leases[2].want(true);
+    run(&mut simulation, 2, 300);
+    assert_eq!(simulation.taken, [(1, 0), (2, 2)]);
 }
 
 #[test]
-fn without_fences_orders_of_the_last_holder_are_waited_out() {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
-    while world.taken.len() < 2 {
-        drive(&mut world, 1, 100);
+fn without_fences_a_new_holder_waits_for_orders_of_the_previous_one() {
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
+    while simulation.taken.len() < 2 {
+        run(&mut simulation, 1, 100);
     }
     assert!(
-        world.leases[1]
-            .may_send_orders(true, world.now_ms)
+        simulation.leases[1]
+            .may_send_orders(true, simulation.now_ms)
             .is_some()
     );
-    assert_eq!(world.leases[1].may_send_orders(false, world.now_ms), None);
-    drive(&mut world, 1, MAX_ORDER_DELAY_MS);
+    assert_eq!(
+        simulation.leases[1].may_send_orders(false, simulation.now_ms),
+        None
+    );
+    run(&mut simulation, 1, MAX_ORDER_DELAY_MS);
     assert!(
-        world.leases[1]
-            .may_send_orders(false, world.now_ms)
+        simulation.leases[1]
+            .may_send_orders(false, simulation.now_ms)
             .is_some()
     );
 }
 
 #[test]
-fn an_outage_ends_the_lease_and_renewal_afterwards_goes_on_under_it() {
-    let mut world = World::new();
-    drive(&mut world, 0, 2_000);
+fn a_lease_that_expired_in_an_outage_is_renewed_under_the_same_fence() {
+    let mut simulation = Simulation::new();
+    run(&mut simulation, 0, 2_000);
     for _ in 0..40 {
-        world.now_ms += 500;
-        world.call(0, Fate::NotSent);
+        simulation.now_ms += 500;
+        simulation.call(0, Fate::NotSent);
     }
-    assert_eq!(world.leases[0].held(world.now_ms), None);
-    drive(&mut world, 0, 1_000);
-    let held = world.leases[0].held(world.now_ms).unwrap();
+    assert_eq!(simulation.leases[0].held(simulation.now_ms), None);
+    run(&mut simulation, 0, 1_000);
+    let held = simulation.leases[0].held(simulation.now_ms).unwrap();
     assert_eq!(held.fence, 1);
-    assert!(held.valid_until_ms > world.now_ms + LEASE_MS / 2);
+    assert!(held.valid_until_ms > simulation.now_ms + LEASE_MS / 2);
 }
