--- a/src/placement/coverage.rs
+++ b/src/placement/coverage.rs
@@ -1,12 +1,12 @@
-//! Where in the model an engine's layers lie, so that every layer has as many holders as possible.
+//! Coverage of a model's layers by engines, used to give every layer as many holders as possible.
 
 use crate::ids::{EndpointId, ZoneName};
 use crate::wire::engine::LayerRange;
 
-/// An engine as the placement sees it.
+/// An engine from the point of view of placement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedEngine {
-    /// Engine.
+    /// Endpoint id of the engine.
     pub id: EndpointId,
     /// Availability zone.
     pub zone: ZoneName,
@@ -14,13 +14,13 @@
     pub kind: String,
     /// Layers that it holds or was ordered to hold.
     pub layers: Option<LayerRange>,
-    /// Tokens times layers of requests that it has in memory. A move waits for them to end.
+    /// Tokens times layers of requests in its memory. A move waits until they have ended.
     pub held_token_layers: u64,
-    /// Whether it is so slow that its layers need another holder as if it held none.
+    /// Whether it is so slow that its layers need another holder, as if it held none.
     pub is_very_slow: bool,
 }
 
-/// A range of layers and how slow its holder is.
+/// A range of layers and the speed of the engine that holds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct HeldRange {
     pub(super) layers: LayerRange,
@@ -28,33 +28,33 @@
     pub(super) step_factor: f64,
 }
 
-/// What is held of one layer.
+/// Holders of one layer.
 #[derive(Clone, Copy, Debug)]
 struct LayerHolders {
     holders: u32,
-    /// Factor on the time of a token step at the min_step_factor holder; infinite without one.
+    /// Factor on the time of a token step at the fastest holder; infinite without one.
     min_step_factor: f64,
 }
 
-/// How much a window of layers needs one more holder. Compared in the order of the fields: a layer
-/// without holder stops every request of the zone, a slow one costs each of them, and a second
-/// holder only helps when the first is lost.
+/// How much a window of layers needs one more holder. Fields are compared in order: a layer without
+/// a holder stops every request of the zone, a slow one delays each of them, and a second holder
+/// only helps when the first one is lost.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Need {
     /// Layers without a holder.
     uncovered: u32,
-    /// Step factors saved, over the layers that would run much faster than now.
+    /// Sum of the saved step factors, over the layers that would run much faster than now.
     saved: f64,
-    /// Grows with the layers that have few holders.
-    redundancy: u64,
+    /// Higher for layers with fewer holders.
+    scarcity: u64,
 }
 
-/// How many times faster than a layer's min_step_factor holder an engine must be for the layer to be worth
-/// more than another one's second holder: a lesser gain is within what load does to two engines
-/// of one kind.
+/// How many times faster than a layer's fastest holder an engine must be for the layer to matter
+/// more than a second holder for another one. Smaller gains are within the variation that load
+/// causes between engines of the same kind.
 const MIN_SPEEDUP: f64 = 1.5;
 
-/// Who holds each layer.
+/// Holders of each layer.
 #[derive(Clone, Debug)]
 pub(super) struct Coverage(Vec<LayerHolders>);
 
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Layers without any holder.
+    /// Number of layers without a holder.
     pub(super) fn uncovered_layers(&self) -> u32 {
         self.0.iter().filter(|cover| cover.holders == 0).count() as u32
     }
@@ -93,8 +93,7 @@
         self.0.iter().any(|cover| cover.holders == 0)
     }
 
-    /// The window of `count` layers that needs a holder with this step factor most. Of equal ones the
-    /// first.
+    /// The first window of `count` layers that needs a holder with this step factor the most.
     pub(super) fn best_window(&self, count: u16, step_factor: f64) -> Option<HeldRange> {
         let total = u16::try_from(self.0.len()).ok()?;
         if count == 0 || count > total {
@@ -118,8 +117,8 @@
         })
     }
 
-    /// Whether an engine with this range would run some of its layers for everybody: they have no other
-    /// holder, or only much slower ones.
+    /// Whether chains would use an engine with this range: some of its layers have no other holder,
+    /// or only much slower ones.
     pub(super) fn would_be_used(&self, range: HeldRange) -> bool {
         let need = self.need(range.layers, range.step_factor);
         need.uncovered > 0 || need.saved > 0.0
@@ -130,7 +129,7 @@
         let mut need = Need {
             uncovered: 0,
             saved: 0.0,
-            redundancy: 0,
+            scarcity: 0,
         };
         for cover in covers {
             if cover.holders == 0 {
@@ -138,8 +137,8 @@
             } else if cover.min_step_factor >= step_factor * MIN_SPEEDUP {
                 need.saved += cover.min_step_factor - step_factor;
             }
-            // Each further holder is worth much less than the one before.
-            need.redundancy += 1_000_000u64 >> (cover.holders * 6).min(20);
+            // Each further holder counts much less than the one before.
+            need.scarcity += 1_000_000u64 >> (cover.holders * 6).min(20);
         }
         need
     }
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Which layers each engine holds.
+//! Assignment of layers to engines.
 //!
-//! The plan is worked out from what engines hold now, so that any instance comes to the same
-//! orders and an order that was lost or carried out late is simply found missing or superfluous.
-//! Layers are spread inside each availability zone, since the links between zones cannot carry
-//! every request's activations.
+//! The plan is computed from what engines hold now, so any instance arrives at the same orders, and
+//! an order that was lost or carried out late simply turns out to be missing or superfluous. Layers
+//! are spread inside each availability zone, since the links between zones cannot carry every
+//! request's activations.
 
 mod coverage;
 mod planner;
--- a/src/placement/planner.rs
+++ b/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! The orders that bring engines to hold the layers they should.
+//! Orders that make engines hold the layers that they should.
 
 use std::cmp::Ordering;
 
@@ -11,22 +11,23 @@
 use crate::route_table::EngineModel;
 use crate::wire::engine::LayerRange;
 
-/// Added to the time a load should take before an order counts as lost: the list shows an engine's
-/// layers with a lag of about two seconds.
+/// Margin added to the expected load time before an order counts as lost: the list shows an
+/// engine's layers with a lag of about two seconds.
 const ORDER_TIMEOUT_MARGIN_MS: u64 = 4_000;
-/// Pause before an engine that did not take an order is given one again; until then the plan does
-/// without it. Of the order of the time that an engine needs to carry out the order before.
+/// Delay before an engine that refused an order gets another one; until then the plan does without
+/// it. About the time that an engine needs to carry out the previous order.
 const REFUSAL_BACKOFF_MS: u64 = 1_500;
-/// How long a zone must have lacked a layer before its engines are laid out anew. Engines that died
-/// or crawl are back after two to five seconds as a rule; until then other zones do its work.
+/// How long a zone must have lacked a layer before its engines are laid out again. Engines that
+/// crashed or are very slow usually recover after two to five seconds, and other zones serve its
+/// requests until then.
 const RELAYOUT_DELAY_MS: u64 = 6_000;
 
-/// An order to one engine to hold a range of layers.
+/// An order to an engine to hold a range of layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacementOrder {
-    /// Engine.
+    /// Engine that gets the order.
     pub endpoint: EndpointId,
-    /// Layers that it is to hold, and no others.
+    /// The only layers that it should hold.
     pub layers: LayerRange,
 }
 
@@ -38,18 +39,18 @@
     expires_ms: u64,
 }
 
-/// The placement of one model's layers, as the process that holds the lease works on it.
+/// Placement of one model's layers, as managed by the process that holds the lease.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementPlanner {
     pending: IndexMap<EndpointId, PendingOrder>,
-    /// Engines that did not take an order, and when they may be given one again.
+    /// Engines that refused an order, and when they may get another one.
     refused_until_ms: IndexMap<EndpointId, u64>,
-    /// Since when each availability zone has had a layer that no engine holds.
+    /// Since when each availability zone has had a layer without an engine.
     uncovered_since_ms: IndexMap<ZoneName, u64>,
 }
 
 impl PlacementPlanner {
-    /// The orders that are due now; [`Self::given`] says which of them were given.
+    /// The orders to send now. [`Self::order_sent`] records those that were sent.
     pub fn due_orders(
         &mut self,
         engines: &[PlacedEngine],
@@ -60,11 +61,11 @@
         let zones: IndexSet<&ZoneName> = engines.iter().map(|engine| &engine.zone).collect();
         let mut orders = Vec::new();
         for zone in zones {
-            let of_zone: Vec<&PlacedEngine> = engines
+            let in_zone: Vec<&PlacedEngine> = engines
                 .iter()
                 .filter(|engine| engine.zone == *zone)
                 .collect();
-            orders.extend(self.due_in_zone(zone, &of_zone, model, now_ms));
+            orders.extend(self.due_in_zone(zone, &in_zone, model, now_ms));
         }
         for order in &orders {
             check_memory(order, engines, model);
@@ -72,8 +73,8 @@
         orders
     }
 
-    /// Notes that an order was given: it is under way from here on. `engines` are those that it was
-    /// worked out from.
+    /// Records that an order was sent and is pending. `engines` are those that it was computed
+    /// from.
     pub fn order_sent(
         &mut self,
         order: PlacementOrder,
@@ -86,20 +87,20 @@
         self.add_pending(order, is_move, model, now_ms);
     }
 
-    /// Notes that an engine did not take an order.
+    /// Records that an engine refused an order.
     pub fn order_refused(&mut self, endpoint: &EndpointId, now_ms: u64) {
         self.pending.shift_remove(endpoint);
         let until_ms = now_ms + REFUSAL_BACKOFF_MS;
         self.refused_until_ms.insert(endpoint.clone(), until_ms);
     }
 
-    /// Forgets since when layers have had no holder: another process looks after them now, and what
-    /// becomes of them is not seen here.
+    /// Clears the times since when layers have had no engine: another process holds the lease now,
+    /// and its progress is not visible here.
     pub fn reset_uncovered_timers(&mut self) {
         self.uncovered_since_ms.clear();
     }
 
-    /// Takes word of an order that another process gave.
+    /// Records an order that was sent by another process.
     pub fn order_reported(&mut self, order: PlacementOrder, model: &EngineModel, now_ms: u64) {
         self.add_pending(order, true, model, now_ms);
     }
@@ -121,7 +122,7 @@
         self.pending.insert(order.endpoint, ordered);
     }
 
-    /// Drops orders that were carried out, whose engine is gone, or that seem lost.
+    /// Drops pending orders that were carried out, whose engine is gone, or that count as lost.
     fn expire(&mut self, engines: &[PlacedEngine], now_ms: u64) {
         self.refused_until_ms
             .retain(|_, until_ms| now_ms < *until_ms);
@@ -132,7 +133,7 @@
         });
     }
 
-    /// What an engine holds or is about to hold.
+    /// The layers that an engine holds, or will hold after a pending order.
     fn planned_layers(&self, engine: &PlacedEngine) -> Option<LayerRange> {
         let ordered = self.pending.get(&engine.id).map(|it| it.layers);
         ordered
@@ -148,8 +149,8 @@
         now_ms: u64,
     ) -> Vec<PlacementOrder> {
         let counts = layer_counts(engines, model);
-        let sound = engines.iter().filter(|engine| !engine.is_very_slow);
-        let held = sound.filter_map(|engine| self.held_range(engine, model));
+        let healthy = engines.iter().filter(|engine| !engine.is_very_slow);
+        let held = healthy.filter_map(|engine| self.held_range(engine, model));
         let mut coverage = Coverage::of(model.layers, held);
         let mut orders = self.assign_empty_engines(engines, &counts, &mut coverage, model);
         if !coverage.has_gap() {
@@ -173,9 +174,10 @@
         orders
     }
 
-    /// Gives every empty engine its layers. Where engines of the zone hold some already, layers
-    /// without holder come first, each from the engine that loads least for it. Otherwise a zone
-    /// whose engines return from a crash would stay slow: they would be given layers that are held.
+    /// Assigns layers to every empty engine. If engines of the zone already hold some, layers
+    /// without an engine come first, each for the engine that has to load the least. Otherwise a
+    /// zone would remain slow after its engines return from a crash, because they would get layers
+    /// that are already held.
     fn assign_empty_engines(
         &self,
         engines: &[&PlacedEngine],
@@ -183,7 +185,8 @@
         coverage: &mut Coverage,
         model: &EngineModel,
     ) -> Vec<PlacementOrder> {
-        let is_empty = |it: &&PlacedEngine| self.planned_layers(it).is_none() && self.may_order(it);
+        let is_empty =
+            |it: &&PlacedEngine| self.planned_layers(it).is_none() && self.can_take_order(it);
         let mut empty: Vec<&PlacedEngine> = engines.iter().copied().filter(is_empty).collect();
         empty.sort_by(|a, b| placement_order(a, b, counts, model));
         let is_repair = empty.len() < engines.len();
@@ -198,7 +201,8 @@
             let step_factor = step_factor(engine, model);
             let count = counts.as_only_holder(&engine.id).unwrap_or(0);
             let mut range = coverage.best_window(count, step_factor);
-            // A much faster engine runs what the present holders ran, so it needs the whole room.
+            // An engine that only adds copies keeps a smaller reserve. A much faster one takes over
+            // the work of the present holders, so it keeps the full reserve.
             if range.is_some_and(|range| !coverage.would_be_used(range)) {
                 let count = counts.as_copy(&engine.id).unwrap_or(0);
                 range = coverage.best_window(count, step_factor);
@@ -221,7 +225,7 @@
         })
     }
 
-    /// Moves one engine whose layers all have another holder to where layers have none.
+    /// Moves one engine, all of whose layers are also held elsewhere, to layers without an engine.
     fn cover_gap(
         &self,
         engines: &[&PlacedEngine],
@@ -231,8 +235,9 @@
     ) -> Option<PlacementOrder> {
         let before = coverage.uncovered_layers();
         let mut best: Option<((u32, u64), PlacementOrder)> = None;
-        let fit = |engine: &&&PlacedEngine| !engine.is_very_slow && self.may_order(engine);
-        for engine in engines.iter().filter(fit) {
+        let is_movable =
+            |engine: &&&PlacedEngine| !engine.is_very_slow && self.can_take_order(engine);
+        for engine in engines.iter().filter(is_movable) {
             let (Some(_), Some(count)) = (
                 self.planned_layers(engine),
                 counts.as_only_holder(&engine.id),
@@ -260,8 +265,8 @@
         best.map(|(_, order)| order)
     }
 
-    /// Lays the engines of a zone out anew, where no single move closes a hole: each keeps about
-    /// its place, and only boundaries shift.
+    /// Computes a new layout for the engines of a zone where no single move covers a gap. Each
+    /// engine stays near its present position, and only boundaries shift.
     fn relayout(
         &self,
         engines: &[&PlacedEngine],
@@ -269,10 +274,10 @@
         model: &EngineModel,
     ) -> Vec<PlacementOrder> {
         let count_of = |engine: &PlacedEngine| counts.as_only_holder(&engine.id).unwrap_or(0);
-        let mut left: Vec<&&PlacedEngine> = engines
+        let mut remaining: Vec<&&PlacedEngine> = engines
             .iter()
-            .filter(|engine| !engine.is_very_slow && self.may_order(engine))
-            // An engine of a kind that the table does not name can hold none.
+            .filter(|engine| !engine.is_very_slow && self.can_take_order(engine))
+            // An engine of a kind that is not in the model's table cannot hold any layer.
             .filter(|engine| count_of(engine) > 0)
             .collect();
         let mut orders = Vec::new();
@@ -284,11 +289,15 @@
                 let held = self.planned_layers(engine);
                 (held.map_or(0, |held| overlap(held, window)), count)
             };
-            let Some(best) = left.iter().enumerate().max_by_key(|(_, it)| overlap(it)) else {
-                // The engines are too few to hold every layer.
+            let Some(best) = remaining
+                .iter()
+                .enumerate()
+                .max_by_key(|(_, it)| overlap(it))
+            else {
+                // There are too few engines to hold every layer.
                 return Vec::new();
             };
-            let engine = left.swap_remove(best.0);
+            let engine = remaining.swap_remove(best.0);
             let layers = window_from(next, count_of(engine), model.layers);
             next = layers.end;
             if self.planned_layers(engine) != Some(layers) {
@@ -301,8 +310,8 @@
         orders
     }
 
-    /// Whether an engine of these gives up layers for others now. One move at a time: each takes
-    /// layers out of service until it is done.
+    /// Whether one of these engines is being moved. Engines are moved one at a time, since a move
+    /// takes layers out of service until it is done.
     fn is_moving(&self, engines: &[&PlacedEngine]) -> bool {
         let moves = |engine: &&&PlacedEngine| {
             let ordered = self.pending.get(&engine.id);
@@ -311,17 +320,17 @@
         engines.iter().any(|engine| moves(&engine))
     }
 
-    /// Whether an engine may be given an order.
-    fn may_order(&self, engine: &PlacedEngine) -> bool {
+    /// Whether an engine may get an order.
+    fn can_take_order(&self, engine: &PlacedEngine) -> bool {
         !self.refused_until_ms.contains_key(&engine.id)
     }
 }
 
-/// The order in which empty engines get layers: the fastest first, so that a chain runs as many layers
-/// as it can on those and slower ones hold the rest and the copies; of equally fast ones the largest,
-/// which make chains short. A stream that runs faster holds its tokens for a shorter time: with the
-/// largest first, slow engines would be the only holders of many layers where kinds differ much in speed,
-/// and memory would run full at the usual load.
+/// Order in which empty engines get layers. The fastest come first, so that a chain runs as many
+/// layers as possible on them, and slower engines hold the rest and the copies. Of equally fast
+/// engines the largest come first, which keeps chains short. A faster stream holds its tokens in
+/// memory for a shorter time: with the largest engines first, slow ones would be the only holders
+/// of many layers where kinds differ much in speed, and memory would fill up under normal load.
 fn placement_order(
     a: &PlacedEngine,
     b: &PlacedEngine,
@@ -333,14 +342,15 @@
     faster.then_with(|| count(b).cmp(&count(a)))
 }
 
-/// Factor on the time of a token step; infinite for a kind that the table does not name.
+/// Factor on the time of a token step; infinite for a kind that is not in the model's table.
 fn step_factor(engine: &PlacedEngine, model: &EngineModel) -> f64 {
     let kind = model.kinds.get(&engine.kind);
     kind.map_or(f64::INFINITY, |kind| kind.step_factor)
 }
 
-/// Which of these engines leaves the fewest layers without a holder, and of equal ones the one that
-/// has to load the fewest: a zone that lacks one layer serves nothing until it is loaded.
+/// Index of the engine that would leave the fewest layers without an engine, and among equals of
+/// the one that has to load the fewest layers: a zone that lacks one layer serves nothing until it
+/// is loaded.
 fn best_gap_filler(
     empty: &[&PlacedEngine],
     counts: &LayerCounts,
@@ -359,7 +369,8 @@
     ranks.min_by_key(|(_, rank)| *rank).map_or(0, |(at, _)| at)
 }
 
-/// The window of `count` layers from `first`, moved back where it would end behind the last layer.
+/// The window of `count` layers that starts at `first`, moved back if it would exceed the last
+/// layer.
 fn window_from(first: u16, count: u16, layers: u16) -> LayerRange {
     let end = (first + count).min(layers);
     LayerRange {
--- a/src/placement/sizing.rs
+++ b/src/placement/sizing.rs
@@ -1,4 +1,4 @@
-//! How many layers an engine holds, and how much memory that leaves for requests.
+//! Number of layers that an engine holds, and the memory that they leave for requests.
 
 use indexmap::IndexMap;
 
@@ -7,32 +7,32 @@
 
 use super::PlacedEngine;
 
-/// Usual requests for which every engine keeps room beside its layers. A zone with traffic of 24
-/// requests a second, each about 3 s long, has 72 under way at every layer; when an engine is
-/// lost, another one that holds its layers gets up to twice that.
+/// Typical requests for which every engine reserves memory beside its layers. A zone with 24
+/// requests per second of about 3 s each runs 72 at every layer, and when an engine is lost,
+/// another one with its layers gets up to twice as many.
 const RESERVED_REQUESTS: f64 = 120.0;
-/// The least room, in usual requests, where a zone could not hold every layer otherwise.
+/// Minimum reserve, in typical requests, for zones that could not hold every layer otherwise.
 const MIN_RESERVED_REQUESTS: f64 = 8.0;
 
-/// Part of the usual room that an engine keeps where it is the second holder of its layers: the two
-/// share what is there. With the whole room three small engines hold 24 of a large one's 27 layers,
-/// and its loss stops the zone.
+/// Fraction of the normal reserve that an engine keeps if it is the second holder of its layers,
+/// since the two share the load. With the full reserve, three small engines hold 24 of a large
+/// one's 27 layers, and losing the large one stops the zone.
 const COPY_RESERVE_FRACTION: f64 = 0.5;
 
-/// Most layers that fit beside room for `requests` usual requests.
+/// Maximum number of layers that fit beside a reserve for `requests` typical requests.
 fn layers_that_fit(model: &EngineModel, kind: &EngineKind, requests: f64) -> u16 {
     let usual_tokens = (model.usual_prompt_tokens + model.usual_answer_tokens).max(1) as f64;
     let tokens = usual_tokens * requests;
     let layer_token_mb = model.token_kv_bytes / f64::from(model.layers.max(1)) / 1e6;
     let per_layer_mb = model.layer_mb + tokens * layer_token_mb;
     let count = (kind.memory_mb / per_layer_mb).floor();
-    // Never above what the memory holds, whatever the figures are.
+    // Never more than fit into memory, whatever the model's figures are.
     let most = (kind.memory_mb / model.layer_mb).floor();
     let count = count.min(most).clamp(0.0, f64::from(model.layers));
     count as u16
 }
 
-/// How many layers each engine of an availability zone holds.
+/// Number of layers that each engine of an availability zone holds.
 #[derive(Clone, Debug)]
 pub(super) struct LayerCounts {
     as_only_holder: IndexMap<EndpointId, u16>,
@@ -40,20 +40,21 @@
 }
 
 impl LayerCounts {
-    /// Where some of its layers have no other holder; `None` for a kind that the table does not name.
+    /// For an engine some of whose layers have no other holder; `None` for a kind that is not in
+    /// the model's table.
     pub(super) fn as_only_holder(&self, engine: &EndpointId) -> Option<u16> {
         self.as_only_holder.get(engine).copied()
     }
 
-    /// Where all of its layers have another holder.
+    /// For an engine all of whose layers have another holder.
     pub(super) fn as_copy(&self, engine: &EndpointId) -> Option<u16> {
         self.as_copy.get(engine).copied()
     }
 }
 
-/// Layers for each engine of one availability zone: as many as leave the usual room, or more
-/// where the zone would not hold every layer once. A copy keeps less room and holds more layers, so
-/// that fewer engines make up for the loss of a large one.
+/// Number of layers for each engine of one availability zone: as many as leave the normal reserve,
+/// or more if the zone could not hold every layer otherwise. A copy keeps a smaller reserve and
+/// holds more layers, so that fewer engines make up for the loss of a large one.
 pub(super) fn layer_counts(engines: &[&PlacedEngine], model: &EngineModel) -> LayerCounts {
     let counts_for = |requests: f64| -> IndexMap<EndpointId, u16> {
         engines
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -48,31 +48,35 @@
     engines
 }
 
-/// Gives the orders that are due.
-fn give(duty: &mut PlacementPlanner, engines: &[PlacedEngine], now_ms: u64) -> Vec<PlacementOrder> {
-    let orders = duty.due_orders(engines, &model(), now_ms);
+/// Sends the due orders.
+fn send_due_orders(
+    planner: &mut PlacementPlanner,
+    engines: &[PlacedEngine],
+    now_ms: u64,
+) -> Vec<PlacementOrder> {
+    let orders = planner.due_orders(engines, &model(), now_ms);
     for order in &orders {
-        duty.order_sent(order.clone(), engines, &model(), now_ms);
+        planner.order_sent(order.clone(), engines, &model(), now_ms);
     }
     orders
 }
 
 /// Carries out all orders until none is due.
-fn carry_out(engines: &mut [PlacedEngine], now_ms: u64) -> usize {
-    let mut duty = PlacementPlanner::default();
+fn carry_out_all(engines: &mut [PlacedEngine], now_ms: u64) -> usize {
+    let mut planner = PlacementPlanner::default();
     let mut carried_out = 0;
     for round in 0..50 {
-        let orders = give(&mut duty, engines, now_ms + round * 10_000);
+        let orders = send_due_orders(&mut planner, engines, now_ms + round * 10_000);
         if orders.is_empty() && round > 1 {
             return carried_out;
         }
         carried_out += orders.len();
-        place(engines, &orders);
+        apply_orders(engines, &orders);
     }
     panic!("orders never end");
 }
 
-fn place(engines: &mut [PlacedEngine], orders: &[PlacementOrder]) {
+fn apply_orders(engines: &mut [PlacedEngine], orders: &[PlacementOrder]) {
     for order in orders {
         let engine = engines.iter_mut().find(|it| it.id == order.endpoint);
         engine.expect("an order names an engine").layers = Some(order.layers);
@@ -92,14 +96,14 @@
 fn each_zone_that_can_holds_every_layer() {
     for (large, middle, small) in [(2, 5, 8), (1, 7, 5), (2, 3, 5)] {
         let mut engines = engines("lac", large, middle, small);
-        let orders = carry_out(&mut engines, 0);
+        let orders = carry_out_all(&mut engines, 0);
         assert_eq!(orders, large + middle + small, "one order an engine");
         assert!((0..80).all(|layer| holders(&engines, layer) >= 1));
     }
 }
 
-/// A model on kinds of which the smallest is three times as fast as the one in the middle.
-fn model_of_unlike_speeds() -> EngineModel {
+/// A model whose smallest kind of engine is three times as fast as the middle one.
+fn model_with_uneven_speeds() -> EngineModel {
     let mut model = model();
     model.token_kv_bytes = 590_000.0;
     let speeds = [
@@ -117,11 +121,11 @@
 
 #[test]
 fn layers_are_held_by_fast_engines_before_slow_ones() {
-    let model = model_of_unlike_speeds();
+    let model = model_with_uneven_speeds();
     for (large, middle, small) in [(2, 4, 4), (1, 6, 6), (1, 4, 10)] {
         let mut engines = engines("lac", large, middle, small);
         let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
-        place(&mut engines, &orders);
+        apply_orders(&mut engines, &orders);
         let is_fast = |it: &&PlacedEngine| it.kind != "middle";
         let fast: Vec<PlacedEngine> = engines.iter().filter(is_fast).cloned().collect();
         let room: u16 = fast
@@ -140,23 +144,23 @@
 }
 
 #[test]
-fn no_layer_is_without_holder_once_the_largest_engine_is_lost() {
-    let model = model_of_unlike_speeds();
+fn every_layer_keeps_a_holder_when_the_largest_engine_is_lost() {
+    let model = model_with_uneven_speeds();
     for (large, middle, small) in [(2, 4, 4), (1, 6, 6), (1, 4, 10)] {
         let mut engines = engines("lac", large, middle, small);
         let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
-        place(&mut engines, &orders);
+        apply_orders(&mut engines, &orders);
         let lost = engines.remove(0);
-        let holes: Vec<u16> = (0..80)
+        let uncovered: Vec<u16> = (0..80)
             .filter(|layer| holders(&engines, *layer) == 0)
             .collect();
-        assert!(holes.is_empty(), "{holes:?} without {lost:?}");
+        assert!(uncovered.is_empty(), "{uncovered:?} without {lost:?}");
     }
 }
 
 #[test]
-fn engines_that_return_close_a_hole_with_the_least_to_load_and_relieve_slow_ones() {
-    let model = model_of_unlike_speeds();
+fn returning_engines_cover_a_gap_with_the_least_to_load_and_relieve_slow_ones() {
+    let model = model_with_uneven_speeds();
     let mut engines = engines("lac", 2, 3, 7);
     let mut layers = vec![None, Some((24, 53))];
     layers.extend([(0, 8), (8, 16), (16, 24)].map(Some));
@@ -174,36 +178,36 @@
             .expect("both get layers")
             .layers
     };
-    let hole = LayerRange { first: 53, end: 54 };
-    assert!(layers_of("small").covers(hole), "{orders:?}");
+    let gap = LayerRange { first: 53, end: 54 };
+    assert!(layers_of("small").covers(gap), "{orders:?}");
     let slow = LayerRange { first: 0, end: 24 };
     assert!(layers_of("large").covers(slow), "{orders:?}");
 }
 
 #[test]
-fn a_layer_without_holder_is_taken_over_by_a_spare_holder_of_others() {
+fn a_layer_without_a_holder_is_taken_over_by_a_redundant_holder_of_others() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let last = LayerRange { first: 79, end: 80 };
     let holds_last = |it: &PlacedEngine| it.layers.is_some_and(|layers| layers.covers(last));
     engines.retain(|engine| !holds_last(engine));
     assert_eq!(holders(&engines, 79), 0);
-    let orders = carry_out(&mut engines, 0);
+    let orders = carry_out_all(&mut engines, 0);
     assert!((1..=2).contains(&orders), "{orders} orders");
     assert!((0..80).all(|layer| holders(&engines, layer) >= 1));
 }
 
 #[test]
-fn engines_that_are_barely_enough_are_laid_out_anew_with_less_room() {
+fn barely_enough_engines_are_laid_out_again_with_a_smaller_reserve() {
     let mut engines = engines("marsa", 2, 3, 5);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     for kind in ["middle", "small"] {
         let lost = engines
             .iter()
             .position(|it| it.kind == kind)
             .expect("placed");
         engines.remove(lost);
-        carry_out(&mut engines, 0);
+        carry_out_all(&mut engines, 0);
         assert!(
             (0..80).all(|layer| holders(&engines, layer) >= 1),
             "after a {kind} one"
@@ -212,11 +216,11 @@
 }
 
 #[test]
-fn an_engine_that_returns_to_slow_copies_keeps_the_room_of_an_only_holder() {
-    let model = model_of_unlike_speeds();
+fn an_engine_that_returns_to_slow_copies_keeps_the_reserve_of_an_only_holder() {
+    let model = model_with_uneven_speeds();
     let mut engines = engines("lac", 1, 6, 6);
     let orders = PlacementPlanner::default().due_orders(&engines, &model, 0);
-    place(&mut engines, &orders);
+    apply_orders(&mut engines, &orders);
     let before = engines[0].layers;
     engines[0].layers = None;
     assert!(
@@ -229,7 +233,7 @@
 }
 
 #[test]
-fn engines_that_are_too_few_are_left_alone_beside_one_of_an_unknown_kind() {
+fn too_few_engines_get_no_orders_beside_one_of_an_unknown_kind() {
     let model = EngineModel {
         layers: 81,
         ..model()
@@ -241,51 +245,51 @@
         engine.layers = Some(LayerRange { first, end });
         first = end;
     }
-    engines[6].kind = "unheard-of".to_owned();
-    let mut duty = PlacementPlanner::default();
-    // All that they can do is to leave another layer without a holder.
-    assert_eq!(duty.due_orders(&engines, &model, 0), vec![]);
-    assert_eq!(duty.due_orders(&engines, &model, 6_000), vec![]);
+    engines[6].kind = "unknown".to_owned();
+    let mut planner = PlacementPlanner::default();
+    // Any order would leave another layer without an engine.
+    assert_eq!(planner.due_orders(&engines, &model, 0), vec![]);
+    assert_eq!(planner.due_orders(&engines, &model, 6_000), vec![]);
 }
 
 #[test]
 fn one_engine_of_a_zone_is_moved_at_a_time() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let lost = LayerRange { first: 66, end: 80 };
     engines.retain(|it| it.layers.is_none_or(|layers| !lost.covers(layers)));
-    let mut duty = PlacementPlanner::default();
-    let first = give(&mut duty, &engines, 0);
+    let mut planner = PlacementPlanner::default();
+    let first = send_due_orders(&mut planner, &engines, 0);
     assert_eq!(first.len(), 1);
-    // While it is moved it reports no layers.
+    // While it is being moved it reports no layers.
     let moved = engines.iter_mut().find(|it| it.id == first[0].endpoint);
     moved.expect("it is one of them").layers = None;
-    assert_eq!(give(&mut duty, &engines, 300), vec![]);
+    assert_eq!(send_due_orders(&mut planner, &engines, 300), vec![]);
 }
 
 #[test]
 fn an_engine_that_refused_still_counts_as_a_holder() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
-    let mut duty = PlacementPlanner::default();
+    carry_out_all(&mut engines, 0);
+    let mut planner = PlacementPlanner::default();
     for engine in &engines {
-        duty.order_refused(&engine.id, 0);
+        planner.order_refused(&engine.id, 0);
     }
-    assert_eq!(give(&mut duty, &engines, 300), vec![]);
+    assert_eq!(send_due_orders(&mut planner, &engines, 300), vec![]);
 }
 
 #[test]
-fn a_hole_is_remembered_while_nothing_can_be_ordered() {
+fn a_gap_is_remembered_while_nothing_can_be_ordered() {
     let mut engines = engines("marsa", 1, 4, 5);
-    carry_out(&mut engines, 0);
-    // No single move makes up for this one.
+    carry_out_all(&mut engines, 0);
+    // No single move covers this gap.
     engines.remove(6);
     assert!((0..80).any(|layer| holders(&engines, layer) == 0));
-    let mut duty = PlacementPlanner::default();
+    let mut planner = PlacementPlanner::default();
     let mut looks_ms = (0..100).map(|round| round * 300);
     let first_ms = looks_ms.find(|now_ms| {
-        let orders = give(&mut duty, &engines, *now_ms);
-        place(&mut engines, &orders);
+        let orders = send_due_orders(&mut planner, &engines, *now_ms);
+        apply_orders(&mut engines, &orders);
         !orders.is_empty()
     });
     assert_eq!(first_ms, Some(6_000));
@@ -295,7 +299,7 @@
 #[test]
 fn the_idlest_of_equal_engines_is_moved() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let last = LayerRange { first: 79, end: 80 };
     let holds_last = |it: &PlacedEngine| it.layers.is_some_and(|layers| layers.covers(last));
     engines.retain(|engine| !holds_last(engine));
@@ -307,25 +311,25 @@
         orders[0].endpoint.clone()
     };
     let busy = moved(&engines);
-    let place = engines
+    let busy_index = engines
         .iter()
         .position(|it| it.id == busy)
         .expect("it is one of them");
-    engines[place].held_token_layers = 50_000;
+    engines[busy_index].held_token_layers = 50_000;
     assert_ne!(moved(&engines), busy);
 }
 
 #[test]
-fn an_engine_that_refuses_an_order_is_done_without_for_a_while() {
+fn an_engine_that_refused_an_order_gets_none_for_a_while() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let last = LayerRange { first: 79, end: 80 };
     let holds_last = |it: &PlacedEngine| it.layers.is_some_and(|layers| layers.covers(last));
     engines.retain(|engine| !holds_last(engine));
-    let mut duty = PlacementPlanner::default();
-    let first = give(&mut duty, &engines, 0);
-    duty.order_refused(&first[0].endpoint, 0);
-    let second = give(&mut duty, &engines, 300);
+    let mut planner = PlacementPlanner::default();
+    let first = send_due_orders(&mut planner, &engines, 0);
+    planner.order_refused(&first[0].endpoint, 0);
+    let second = send_due_orders(&mut planner, &engines, 300);
     assert!(!second.is_empty());
     assert!(
         second
@@ -335,9 +339,9 @@
 }
 
 #[test]
-fn layers_of_an_engine_that_crawls_get_another_holder() {
+fn layers_of_a_very_slow_engine_get_another_holder() {
     let mut engines = engines("lac", 2, 5, 8);
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let only = |it: &PlacedEngine, engines: &[PlacedEngine]| {
         let layers = it.layers.expect("placed");
         (layers.first..layers.end).any(|layer| holders(engines, layer) == 1)
@@ -347,35 +351,35 @@
         .position(|it| only(it, &engines))
         .expect("single holders");
     engines[slow].is_very_slow = true;
-    carry_out(&mut engines, 0);
+    carry_out_all(&mut engines, 0);
     let slow = engines.remove(slow);
     assert!(slow.layers.is_some(), "it keeps what it holds");
     assert!((0..80).all(|layer| holders(&engines, layer) >= 1));
 }
 
 #[test]
-fn an_order_under_way_is_not_given_again_until_it_seems_lost() {
+fn a_pending_order_is_not_sent_again_until_it_counts_as_lost() {
     let engines = engines("lac", 2, 5, 8);
-    let mut duty = PlacementPlanner::default();
-    assert_eq!(give(&mut duty, &engines, 0).len(), 15);
-    assert_eq!(give(&mut duty, &engines, 3_000).len(), 0);
-    assert_eq!(give(&mut duty, &engines, 12_000).len(), 15);
+    let mut planner = PlacementPlanner::default();
+    assert_eq!(send_due_orders(&mut planner, &engines, 0).len(), 15);
+    assert_eq!(send_due_orders(&mut planner, &engines, 3_000).len(), 0);
+    assert_eq!(send_due_orders(&mut planner, &engines, 12_000).len(), 15);
 }
 
 proptest! {
     #[test]
-    fn no_order_goes_above_the_memory_and_orders_end(
+    fn no_order_exceeds_the_memory_and_orders_end(
         large in 0usize..4,
         middle in 0usize..10,
         small in 0usize..10,
         lost in prop::collection::vec(any::<prop::sample::Index>(), 0..4),
     ) {
         let mut engines = engines("lac", large, middle, small);
-        carry_out(&mut engines, 0);
+        carry_out_all(&mut engines, 0);
         for index in lost {
             if !engines.is_empty() {
                 engines.remove(index.index(engines.len()));
-                carry_out(&mut engines, 0);
+                carry_out_all(&mut engines, 0);
             }
         }
         for engine in &engines {
