--- a/src/fleet/chain.rs
+++ b/src/fleet/chain.rs
@@ -26,7 +26,7 @@
 /// Factor on an engine's cost at full memory. It grows with the square of memory use, so that
 /// chains spread before any engine is full.
 const FULL_MEMORY_FACTOR: f64 = 12.0;
-/// Cost of an engine whose memory, as estimated path, cannot hold the request. The estimate is an
+/// Cost of an engine whose memory, as estimated here, cannot hold the request. The estimate is an
 /// upper bound: answers count at their expected length from the start.
 const NO_ROOM_COST_MS: f64 = 1_000.0;
 /// Cost of a first engine with all slots in use, where a new request waits in its queue. Higher
--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -221,8 +221,8 @@
         true
     }
 
-    /// Records that a probe sent at `probe_sent_ms` got no response, for which the endpoint and not the
-    /// link is to blame. Returns whether the endpoint has become paused.
+    /// Records that a probe sent at `probe_sent_ms` got no response, for which the endpoint and not
+    /// the link is to blame. Returns whether the endpoint has become paused.
     pub(super) fn record_unanswered(&mut self, probe_sent_ms: u64, now_ms: u64) -> bool {
         self.unanswered_since_ms = Some(probe_sent_ms);
         self.record_failure(EndpointFailure::Unreachable, now_ms)
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -10,7 +10,7 @@
 use crate::ids::{EndpointId, EndpointName, InstanceId, ServiceName};
 use crate::wire::engine::LayerRange;
 
-/// How long an entry that was missing after an outage of the list is retained. The endpoint of an
+/// How long an entry that is missing after an outage of the list is retained. The endpoint of an
 /// expired entry, if alive, is listed again within about two seconds of the end of the outage.
 const MISSING_RETENTION_MS: u64 = 2_200;
 /// How long a peer's report that an endpoint is leaving overrides the list: a read in flight may
