--- a/src/fleet/health.rs
+++ b/src/fleet/health.rs
@@ -228,7 +228,7 @@
         self.record_failure(EndpointFailure::Unreachable, now_ms)
     }
 
-    /// Pauses the endpoint, for twice as long as the last time, up to [`MAX_PAUSE_MS`].
+    /// Pauses the endpoint, for twice as long as the last time, up to the longest pause.
     pub fn pause(&mut self, now_ms: u64) {
         let pause_ms = if self.has_ended {
             MAX_PAUSE_MS
--- a/src/fleet/peer_report_tests.rs
+++ b/src/fleet/peer_report_tests.rs
@@ -34,7 +34,7 @@
     assert_eq!(
         phase(&fleet),
         Some(Phase::Leaving),
-        "the read may have been under way"
+        "the read may have been in flight"
     );
     fleet.expire(1_700);
     assert_eq!(phase(&fleet), Some(Phase::Live));
--- a/src/fleet/retained_tests.rs
+++ b/src/fleet/retained_tests.rs
@@ -51,7 +51,7 @@
         pick_replica(fleet, &service, &ZoneName::from("lac"), &tried, 0)
     };
     assert_eq!(pick(&fleet, &[]), Some(b.clone()));
-    assert_eq!(pick(&fleet, &[&b]), Some(a.clone()), "it may live");
+    assert_eq!(pick(&fleet, &[&b]), Some(a.clone()), "it may be alive");
 }
 
 /// The same for engines.
@@ -70,7 +70,7 @@
     assert_eq!(
         through(&fleet, &["c"]).as_deref(),
         Some("a 0-14"),
-        "it may live"
+        "it may be alive"
     );
 }
 
