--- a/src/dissemination.rs
+++ b/src/dissemination.rs
@@ -1,24 +1,24 @@
-//! What goes into heartbeats beside what each of them holds: news, which are told a few times, and lists too
-//! long for one heartbeat, which are told in turn.
+//! Selects what goes into a heartbeat when not everything fits or needs repeating: updates that are sent
+//! a fixed number of times, and lists that are sent a batch at a time.
 
 use std::hash::Hash;
 
 use indexmap::IndexMap;
 
-/// How often news are told: some heartbeats are lost.
-const TELLINGS: u8 = 4;
+/// How often each update is sent: heartbeats are datagrams, and some are lost.
+const TRANSMISSIONS: u8 = 4;
 
-/// UpdateQueue that are still to be told.
+/// Updates that still have to be sent.
 #[derive(Clone, Debug)]
 pub(crate) struct UpdateQueue<T> {
-    /// How often each is still to be told; never 0.
-    left: IndexMap<T, u8>,
+    /// Transmissions left for each update; never 0.
+    remaining: IndexMap<T, u8>,
 }
 
 impl<T> Default for UpdateQueue<T> {
     fn default() -> Self {
         Self {
-            left: IndexMap::new(),
+            remaining: IndexMap::new(),
         }
     }
 }
@@ -27,57 +27,56 @@
 where
     T: Clone + Eq + Hash,
 {
-    /// Has something told, as often as if it was new.
-    pub(crate) fn push(&mut self, news: &T) {
-        self.left.insert(news.clone(), TELLINGS);
+    /// Queues an update. One that is already queued gets the full number of transmissions again.
+    pub(crate) fn push(&mut self, update: &T) {
+        self.remaining.insert(update.clone(), TRANSMISSIONS);
     }
 
-    /// Has something told no more.
-    pub(crate) fn remove(&mut self, news: &T) {
-        self.left.shift_remove(news);
+    /// Stops sending an update.
+    pub(crate) fn remove(&mut self, update: &T) {
+        self.remaining.shift_remove(update);
     }
 
-    /// Whether something is still to be told.
-    pub(crate) fn contains(&self, news: &T) -> bool {
-        self.left.contains_key(news)
+    pub(crate) fn contains(&self, update: &T) -> bool {
+        self.remaining.contains_key(update)
     }
 
-    /// Whether there is something that was not told yet.
+    /// Whether any queued update has not been sent at all.
     pub(crate) fn has_unsent(&self) -> bool {
-        self.left.values().any(|left| *left == TELLINGS)
+        self.remaining.values().any(|left| *left == TRANSMISSIONS)
     }
 
-    /// UpdateQueue for the next heartbeat, `most` at most. Those that are to be told again come after those that
-    /// were not told yet.
-    pub(crate) fn next_batch(&mut self, most: usize) -> Vec<T> {
-        let told: Vec<T> = self.left.keys().take(most).cloned().collect();
-        for news in &told {
-            let left = self.left.shift_remove(news).unwrap_or_default();
+    /// Updates for the next heartbeat, at most `limit`. Each one that has transmissions left moves to
+    /// the end of the queue, behind those that have not been sent yet.
+    pub(crate) fn next_batch(&mut self, limit: usize) -> Vec<T> {
+        let batch: Vec<T> = self.remaining.keys().take(limit).cloned().collect();
+        for update in &batch {
+            let left = self.remaining.shift_remove(update).unwrap_or_default();
             if left > 1 {
-                self.left.insert(news.clone(), left - 1);
+                self.remaining.insert(update.clone(), left - 1);
             }
         }
-        told
+        batch
     }
 }
 
-/// How far a list has been told in turn.
+/// Position in a list that is sent a batch at a time, over and over.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Rotation {
     next: usize,
 }
 
 impl Rotation {
-    /// The next ones of a list, `count` at most; behind its end it begins anew. The list may have changed
-    /// since the last time.
+    /// The next items of `list`, at most `count`, wrapping around at its end. The list may have changed
+    /// since the last call.
     pub(crate) fn next_batch<'a, T>(
         &mut self,
         list: &'a [T],
         count: usize,
     ) -> impl Iterator<Item = &'a T> + use<'a, T> {
         let count = count.min(list.len());
-        let begin = self.next.checked_rem(list.len()).unwrap_or(0);
-        self.next = begin + count;
-        list.iter().cycle().skip(begin).take(count)
+        let start = self.next.checked_rem(list.len()).unwrap_or(0);
+        self.next = start + count;
+        list.iter().cycle().skip(start).take(count)
     }
 }
--- a/src/dissemination_tests.rs
+++ b/src/dissemination_tests.rs
@@ -1,50 +1,48 @@
-//! UpdateQueue and lists in heartbeats.
-
 use std::collections::BTreeSet;
 
 use super::dissemination::{Rotation, UpdateQueue};
 
 #[test]
-fn news_are_told_four_times_and_those_not_told_yet_come_first() {
-    let mut news = UpdateQueue::default();
+fn updates_are_sent_four_times_and_unsent_ones_first() {
+    let mut queue = UpdateQueue::default();
     for number in 0..5 {
-        news.push(&number);
+        queue.push(&number);
     }
-    let told: Vec<Vec<i32>> = (0..11).map(|_| news.next_batch(2)).collect();
-    assert_eq!(told[0..3], [vec![0, 1], vec![2, 3], vec![4, 0]]);
+    let batches: Vec<Vec<i32>> = (0..11).map(|_| queue.next_batch(2)).collect();
+    assert_eq!(batches[0..3], [vec![0, 1], vec![2, 3], vec![4, 0]]);
     for number in 0..5 {
-        let times = told.iter().flatten().filter(|it| **it == number).count();
+        let times = batches.iter().flatten().filter(|it| **it == number).count();
         assert_eq!(times, 4);
     }
-    assert!(told[10].is_empty());
+    assert!(batches[10].is_empty());
 }
 
 #[test]
-fn what_is_told_anew_is_untold_and_what_is_withdrawn_is_not_told() {
-    let mut news = UpdateQueue::default();
-    news.push(&"a");
-    assert!(news.has_unsent());
-    news.next_batch(9);
-    assert!(!news.has_unsent() && news.contains(&"a"));
-    news.push(&"a");
-    assert!(news.has_unsent());
-    news.remove(&"a");
-    assert!(news.next_batch(9).is_empty());
+fn pushing_again_restarts_an_update_and_removing_stops_it() {
+    let mut queue = UpdateQueue::default();
+    queue.push(&"a");
+    assert!(queue.has_unsent());
+    queue.next_batch(9);
+    assert!(!queue.has_unsent() && queue.contains(&"a"));
+    queue.push(&"a");
+    assert!(queue.has_unsent());
+    queue.remove(&"a");
+    assert!(queue.next_batch(9).is_empty());
 }
 
 #[test]
-fn a_rotation_comes_to_all_and_begins_anew() {
+fn a_rotation_covers_the_list_and_wraps_around() {
     let mut rotation = Rotation::default();
     let list: Vec<u32> = (0..5).collect();
-    let told: Vec<u32> = (0..3)
+    let sent: Vec<u32> = (0..3)
         .flat_map(|_| rotation.next_batch(&list, 2).copied().collect::<Vec<_>>())
         .collect();
-    assert_eq!(told, vec![0, 1, 2, 3, 4, 0]);
-    assert_eq!(told.iter().collect::<BTreeSet<_>>().len(), list.len());
+    assert_eq!(sent, vec![0, 1, 2, 3, 4, 0]);
+    assert_eq!(sent.iter().collect::<BTreeSet<_>>().len(), list.len());
 }
 
 #[test]
-fn a_rotation_tells_nothing_twice_at_once_and_bears_a_list_that_shrinks() {
+fn a_rotation_repeats_nothing_within_a_batch_and_survives_a_shrinking_list() {
     let mut rotation = Rotation::default();
     assert_eq!(rotation.next_batch(&[1, 2, 3], 9).count(), 3);
     assert_eq!(rotation.next_batch(&[1], 2).count(), 1);
