--- a/src/relay_server/senders_tests.rs
+++ b/src/relay_server/senders_tests.rs
@@ -1,5 +1,3 @@
-//! Which instances share an endpoint's limit.
-
 use super::senders::{LimitedEndpoint, Sender, share_per_s};
 use crate::ids::{EndpointId, InstanceId, ZoneName};
 
@@ -20,7 +18,7 @@
         Self(zoned.collect())
     }
 
-    /// The share of each instance, by name.
+    /// The non-zero shares of a limit, by instance name.
     fn shares(&self, zone: &str, limit_per_s: f64) -> Vec<(&str, f64)> {
         let senders: Vec<Sender<'_>> = self
             .0
@@ -32,9 +30,9 @@
             zone: &ZoneName::from(zone),
             limit_per_s,
         };
-        let share = |place: usize| {
+        let share = |index: usize| {
             let mut others = senders.clone();
-            let own = others.remove(place);
+            let own = others.remove(index);
             (own.instance.as_str(), share_per_s(limited, own, &others))
         };
         let mut shares: Vec<(&str, f64)> = (0..senders.len()).map(share).collect();
@@ -48,7 +46,7 @@
 }
 
 #[test]
-fn the_shares_of_all_add_up_to_the_limit() {
+fn shares_add_up_to_the_limit() {
     for zones in [
         &[("lac", 1), ("marsa", 0)],
         &[("lac", 3), ("marsa", 4)],
@@ -63,18 +61,18 @@
 }
 
 #[test]
-fn so_many_send_that_each_has_a_permit_a_second() {
+fn each_selected_instance_has_at_least_one_permit_per_second() {
     let fleet = Fleet::new(&[("lac", 100), ("marsa", 200)]);
     assert_eq!(fleet.shares("lac", 5.4).len(), 5);
     assert_eq!(fleet.shares("lac", 0.3).len(), 1);
 }
 
 #[test]
-fn instances_of_the_endpoints_zone_come_first() {
+fn instances_in_the_zone_of_the_endpoint_are_selected_first() {
     let fleet = Fleet::new(&[("lac", 3), ("marsa", 4)]);
     let shares = fleet.shares("lac", 5.4);
-    let near = shares.iter().filter(|it| it.0.starts_with("lac"));
-    assert_eq!((near.count(), shares.len()), (3, 5));
-    let only_near = fleet.shares("marsa", 3.0);
-    assert!(only_near.iter().all(|it| it.0.starts_with("marsa")));
+    let in_zone = shares.iter().filter(|it| it.0.starts_with("lac"));
+    assert_eq!((in_zone.count(), shares.len()), (3, 5));
+    let only_in_zone = fleet.shares("marsa", 3.0);
+    assert!(only_in_zone.iter().all(|it| it.0.starts_with("marsa")));
 }
