--- a/src/relay_server/records_tests.rs
+++ b/src/relay_server/records_tests.rs
@@ -1,13 +1,13 @@
-use super::records::{next_page, retry_ms};
+use super::records::{backoff_ms, next_page};
 use crate::wire::platform::Row;
 
-// 301 instances that had started together wrote their records to a store that takes 150 writes a second.
-// Most calls ended without an answer and were sent again after the same pause: 290 a second for as long as
-// the instances ran, though their records had long been written.
+// Guards against a permanent overload of the store: 301 instances started together and wrote their records to
+// a store that takes 150 writes per second. Most calls timed out and were retried after a constant pause, which
+// kept up 290 calls per second for as long as the instances ran, although their records had long been written.
 #[test]
-fn those_that_fail_come_again_later_each_time_and_not_together() {
-    let earliest = |failures| retry_ms(failures, 0);
-    let latest = |failures| retry_ms(failures, retry_ms(failures, 0) * 2 - 1);
+fn retries_back_off_exponentially_with_jitter() {
+    let earliest = |failures| backoff_ms(failures, 0);
+    let latest = |failures| backoff_ms(failures, backoff_ms(failures, 0) * 2 - 1);
     for failures in 1..4 {
         assert_eq!(earliest(failures + 1), 2 * earliest(failures));
         assert!(latest(failures) >= 2 * earliest(failures));
@@ -16,9 +16,9 @@
     assert_eq!(earliest(u32::MAX), 2_000);
 }
 
-// At most 500 records were read, so that instances of a larger deployment did not learn of each other.
+// Guards against reading only the first 500 records: instances of a larger deployment did not find each other.
 #[test]
-fn records_are_read_on_where_a_read_is_full() {
+fn another_page_is_read_after_a_full_one() {
     let rows = |count: u32| -> Vec<Row> {
         let row = |number| Row {
             key: format!("instance/{number:04}"),
