--- a/src/relay_server/uplink.rs
+++ b/src/relay_server/uplink.rs
@@ -1,81 +1,75 @@
-//! How much of a document an instance hands to a peer that asks, and when.
+//! Rate control for handing documents to peers: how many bytes to send now, or when to ask again.
 //!
-//! The link that hands documents on also carries callers' answers and health checks. Served all at once,
-//! dozens of peers would fill it, run into their limit together, and live engines would go unheard. So a document is handed over in parts, few at a time, and the others are told when to come
-//! again; whoever has it whole hands it on as well.
+//! The link that carries documents to peers also carries responses to callers and health checks. If
+//! dozens of peers were served at once, they would fill it and time out together, and live engines would
+//! be taken for dead. Documents are therefore sent in parts, a few at a time, and the other peers are told
+//! when to ask again. A peer that has the complete document hands it on as well.
 
-/// Longest time for which parts that are handed over at the same time take up the link, half of what a
-/// health check waits for its answer.
-const MOST_QUEUED_US: u64 = 60_000;
-/// Time for which a link is counted as taken, for each two it takes to carry a part: two thirds of a link
-/// are for documents at most, the rest is for callers and engines. With half, long documents would be late
-/// at hundreds of instances.
-const TAKEN_PER_TWO: u64 = 3;
-/// Time for which one part takes up the link.
+/// Limit of the link time taken up by parts in flight at once: half of a health check's timeout.
+const MAX_QUEUED_US: u64 = 60_000;
+/// Link time charged for every two units of time that a part takes to transmit. Documents thus use at
+/// most two thirds of a link and leave the rest to callers and engines. With half of the link, long
+/// documents arrived late at hundreds of instances.
+const CHARGED_PER_TWO: u64 = 3;
+/// Link time that one part takes up.
 const PART_MS: u64 = 25;
-/// Longest part: it takes up a receiver's link of 20 Mbit/s for as long.
-const LONGEST_PART_BYTES: usize = 62_500;
-/// Shortest part, over any link.
-const SHORTEST_PART_BYTES: usize = 4 << 10;
-/// Longest time for which a peer is told to wait: others have the document by then.
-const LONGEST_WAIT_US: u64 = 250_000;
-/// What a link is taken for whose speed is not known, in megabits a second.
+/// This many bytes take up a receiver's 20 Mbit/s link for [`PART_MS`].
+const MAX_PART_BYTES: usize = 62_500;
+/// Applies whatever the speed of the link.
+const MIN_PART_BYTES: usize = 4 << 10;
+/// Longest time that a peer is told to wait: by then, other peers have the document.
+const MAX_WAIT_US: u64 = 250_000;
+/// Speed assumed for a link of unknown speed, in megabits per second.
 pub(super) const UNKNOWN_LINK_MBPS: u32 = 20;
 
-/// What a peer that asks for a document is given.
+/// Answer to a peer that asks for a document.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
-    /// So much of it, now.
-    Granted {
-        /// Length of what is given.
-        bytes: usize,
-    },
-    /// Nothing: there is room again then.
-    Busy {
-        /// Time until then.
-        wait_ms: u64,
-    },
+    /// A part may be sent now.
+    Granted { bytes: usize },
+    /// The link is busy; the peer has to ask again later.
+    Busy { wait_ms: u64 },
 }
 
-/// What the link of this instance has to carry for peers.
+/// Use of this instance's link for documents.
 #[derive(Debug)]
 pub(super) struct Uplink {
     link_mbps: u64,
-    /// When all that was given has left, at the documents' share of the link.
+    /// When all granted parts have been sent, at the documents' share of the link.
     free_at_us: u64,
-    /// Up to when peers that were turned away were told to come again. Each is told another time, so
-    /// that they do not come together.
-    promised_until_us: u64,
+    /// The latest time at which a peer was told to ask again. Each gets a different time, so that they
+    /// do not all ask at once.
+    reserved_until_us: u64,
 }
 
 impl Uplink {
-    /// The link of an instance, by its speed in megabits a second; 0 if that is not known.
+    /// Takes the speed of the link in megabits per second; 0 if unknown.
     pub(super) fn new(link_mbps: u32) -> Self {
         let known = Some(link_mbps).filter(|it| *it > 0);
         Self {
             link_mbps: u64::from(known.unwrap_or(UNKNOWN_LINK_MBPS)),
             free_at_us: 0,
-            promised_until_us: 0,
+            reserved_until_us: 0,
         }
     }
 
-    /// Decides on a peer that lacks so much of a document.
-    pub(super) fn admit(&mut self, lacking_bytes: usize, now_ms: u64) -> Admission {
+    /// Decides how to answer a peer that lacks `missing_bytes` of a document.
+    pub(super) fn admit(&mut self, missing_bytes: usize, now_ms: u64) -> Admission {
         let now_us = now_ms * 1_000;
-        let bytes = lacking_bytes.min(self.part_bytes());
-        let takes_us = bytes as u64 * 8 * TAKEN_PER_TWO / (2 * self.link_mbps);
+        let bytes = missing_bytes.min(self.part_bytes());
+        let charged_us = bytes as u64 * 8 * CHARGED_PER_TWO / (2 * self.link_mbps);
         let free_at_us = self.free_at_us.max(now_us);
         let is_idle = free_at_us == now_us;
-        if is_idle || free_at_us + takes_us <= now_us + MOST_QUEUED_US {
-            self.free_at_us = free_at_us + takes_us;
+        if is_idle || free_at_us + charged_us <= now_us + MAX_QUEUED_US {
+            self.free_at_us = free_at_us + charged_us;
             return Admission::Granted { bytes };
         }
-        let latest_us = now_us + LONGEST_WAIT_US;
-        let promised_us = self.promised_until_us.max(free_at_us) + takes_us;
-        self.promised_until_us = promised_us.min(latest_us);
+        let latest_us = now_us + MAX_WAIT_US;
+        let reserved_us = self.reserved_until_us.max(free_at_us) + charged_us;
+        self.reserved_until_us = reserved_us.min(latest_us);
         let wait_us = self
-            .promised_until_us
-            .saturating_sub(now_us + MOST_QUEUED_US);
+            .reserved_until_us
+            .saturating_sub(now_us + MAX_QUEUED_US);
         Admission::Busy {
             wait_ms: wait_us.div_ceil(1_000).max(1),
         }
@@ -84,7 +78,7 @@
     fn part_bytes(&self) -> usize {
         let carried_bytes = self.link_mbps * 1_000 / 8 * PART_MS;
         usize::try_from(carried_bytes)
-            .unwrap_or(LONGEST_PART_BYTES)
-            .clamp(SHORTEST_PART_BYTES, LONGEST_PART_BYTES)
+            .unwrap_or(MAX_PART_BYTES)
+            .clamp(MIN_PART_BYTES, MAX_PART_BYTES)
     }
 }
