--- a/src/relay_server/held_tokens.rs
+++ b/src/relay_server/held_tokens.rs
@@ -1,4 +1,4 @@
-//! The tokens that a running stream holds at the engines of its chain.
+//! Accounts for the tokens that a running stream holds on the engines of its chain.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 use super::node::Node;
 use crate::fleet::{Chain, LastHeard};
 
-/// Counts a stream's tokens at the engines of its chain while it runs.
+/// Adds a stream's tokens to the load of its chain's engines until it is dropped.
 pub(super) struct HeldTokens<A>
 where
     A: Adapter,
@@ -14,7 +14,7 @@
     node: Rc<Node<A>>,
     chain: Chain,
     tokens: u64,
-    /// Where it is noted that an event has come, for each stage.
+    /// One per stage, for recording that an event has arrived.
     heard: Vec<LastHeard>,
 }
 
@@ -22,7 +22,6 @@
 where
     A: Adapter,
 {
-    /// Counts them from now on.
     pub(super) fn start(node: &Rc<Node<A>>, chain: Chain, tokens: u64) -> Self {
         node.hold_tokens(&chain, tokens, true);
         Self {
@@ -33,19 +32,19 @@
         }
     }
 
-    /// Notes that an event has come: each passes all stages, so that every engine of the chain lives.
+    /// Records an event of the stream. Events pass through all stages, so each shows that every engine of
+    /// the chain is alive.
     pub(super) fn record_event(&self, now_ms: u64) {
         for heard in &self.heard {
             heard.record(now_ms);
         }
     }
 
-    /// The present chain.
     pub(super) fn chain(&self) -> &Chain {
         &self.chain
     }
 
-    /// Counts them at another chain from now on.
+    /// Moves the tokens to the engines of another chain.
     pub(super) fn move_to(&mut self, chain: Chain) {
         self.node.hold_tokens(&self.chain, self.tokens, false);
         self.node.hold_tokens(&chain, self.tokens, true);
--- a/src/relay_server/load_change.rs
+++ b/src/relay_server/load_change.rs
@@ -1,11 +1,11 @@
-//! How loads at engines change from one heartbeat of a peer to its next.
+//! Differences between the engine loads in two consecutive heartbeats of a peer.
 
 use indexmap::IndexMap;
 
 use crate::fleet::EngineLoad;
 use crate::ids::EndpointId;
 
-/// A load that has changed at an engine.
+/// A peer's load on an engine, before and after a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct LoadChange {
     pub(super) endpoint: EndpointId,
@@ -13,7 +13,8 @@
     pub(super) now: EngineLoad,
 }
 
-/// How loads change when a peer that held `before` holds `now`.
+/// Compares the loads of a peer's previous heartbeat with those of its current one. An engine that is in
+/// only one of them has no load in the other.
 pub(super) fn load_changes(
     before: Vec<(EndpointId, EngineLoad)>,
     now: &[(EndpointId, EngineLoad)],
@@ -27,11 +28,11 @@
             now: *load,
         })
         .collect();
-    let ended = before.into_iter().map(|(endpoint, before)| LoadChange {
+    let removed = before.into_iter().map(|(endpoint, before)| LoadChange {
         endpoint,
         before,
         now: EngineLoad::default(),
     });
-    changes.extend(ended);
+    changes.extend(removed);
     changes
 }
--- a/src/relay_server/locate.rs
+++ b/src/relay_server/locate.rs
@@ -1,50 +1,50 @@
-//! Which instances a caller is told to connect to.
+//! Selects the instances that a caller is told to connect to.
 
 use std::net::SocketAddr;
 
 use super::heartbeat::Availability;
 use crate::ids::ZoneName;
 
-/// Most addresses named to a caller.
-const MOST_ADDRESSES: usize = 8;
-/// Instances of the caller's zone that are enough for it; with fewer, all are named.
-const ENOUGH_NEAR: usize = 2;
+const MAX_ADDRESSES: usize = 8;
+/// With fewer suitable instances in the caller's zone, those of all zones are returned.
+const MIN_IN_ZONE: usize = 2;
 
-/// An instance that may be named.
+/// An instance that a caller may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) zone: &'a ZoneName,
-    /// Where callers connect.
+    /// Address for callers.
     pub(super) front: SocketAddr,
     pub(super) availability: Availability,
 }
 
-/// Addresses for a caller of a zone: instances that serve everybody and learn of changes soon; if
-/// there are none, those that serve everybody; if there are none, those that are open at all.
-/// One that neither the store nor a reader in its zone tells learns of changes a second later.
+/// Addresses for a caller in `zone`: instances that serve every request and receive changes of the store
+/// promptly; failing that, those that serve every request; failing that, those that are open. An instance
+/// that gets neither the store's answers nor those of a reader in its zone learns of changes a second
+/// later.
 pub(super) fn addresses_for(zone: &ZoneName, candidates: &[Candidate<'_>]) -> Vec<SocketAddr> {
-    let fit: [fn(Availability) -> bool; 3] =
+    let levels: [fn(Availability) -> bool; 3] =
         [Availability::is_current, |it| it.is_ready, |it| it.is_open];
-    let mut named = fit.into_iter().map(|is_fit| {
-        let fit = candidates.iter().filter(|it| is_fit(it.availability));
-        nearest(zone, &fit.collect::<Vec<_>>())
+    let mut selections = levels.into_iter().map(|is_suitable| {
+        let suitable = candidates.iter().filter(|it| is_suitable(it.availability));
+        nearest(zone, &suitable.collect::<Vec<_>>())
     });
-    named.find(|it| !it.is_empty()).unwrap_or_default()
+    selections.find(|it| !it.is_empty()).unwrap_or_default()
 }
 
-/// Instances of the zone, if they are enough for its callers, or else all; of many, the first. Few
-/// instances before an engine need few connections to it, and know more of its load.
-fn nearest(zone: &ZoneName, fit: &[&Candidate<'_>]) -> Vec<SocketAddr> {
-    let near: Vec<SocketAddr> = fit
+/// The first few instances of the zone, or of all zones if the zone has too few. When few instances
+/// use an engine, they need few connections to it and know more of its load.
+fn nearest(zone: &ZoneName, suitable: &[&Candidate<'_>]) -> Vec<SocketAddr> {
+    let in_zone: Vec<SocketAddr> = suitable
         .iter()
         .filter(|it| it.zone == zone)
         .map(|it| it.front)
         .collect();
-    let mut named = if near.len() >= ENOUGH_NEAR {
-        near
+    let mut addresses = if in_zone.len() >= MIN_IN_ZONE {
+        in_zone
     } else {
-        fit.iter().map(|it| it.front).collect()
+        suitable.iter().map(|it| it.front).collect()
     };
-    named.truncate(MOST_ADDRESSES);
-    named
+    addresses.truncate(MAX_ADDRESSES);
+    addresses
 }
--- a/src/relay_server/store_contact.rs
+++ b/src/relay_server/store_contact.rs
@@ -1,23 +1,22 @@
-//! Whether the platform's store answers this instance, by the calls that have ended.
+//! Whether the platform's store answers this instance, judged by the calls that have ended.
 
-/// How long after a failed call the store counts as away: entries that are missing from the endpoint
-/// list are still held.
-const AWAY_MS: u64 = 3_000;
+/// How long the store counts as unavailable after a failed call. Meanwhile, entries that are missing from
+/// the endpoint list are kept.
+const UNAVAILABLE_MS: u64 = 3_000;
 
-/// What the newest calls to the store have shown.
+/// Results of the most recent calls to the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StoreHealth {
-    /// When a call last failed, as long as the store counts as away for it.
+    /// When a call last failed; cleared by the first answer after the outage.
     failed_ms: Option<u64>,
     answered_ms: Option<u64>,
-    /// Whether the newest call that has ended was answered.
-    answers: bool,
+    is_answering: bool,
 }
 
 impl StoreHealth {
-    /// Whether the store answered the newest call that has ended.
+    /// Whether the most recently ended call was answered.
     pub(crate) fn is_answering(self) -> bool {
-        self.answers
+        self.is_answering
     }
 
     /// When the store last answered a call.
@@ -25,22 +24,23 @@
         self.answered_ms
     }
 
-    /// Whether the store failed a call shortly before: what it tells may be missing something.
+    /// Whether a call failed recently. What the store returns may then be incomplete.
     pub(crate) fn is_unavailable(self, now_ms: u64) -> bool {
-        self.failed_ms.is_some_and(|at_ms| now_ms < at_ms + AWAY_MS)
+        self.failed_ms
+            .is_some_and(|at_ms| now_ms < at_ms + UNAVAILABLE_MS)
     }
 
-    /// Notes a call that failed. Returns whether the store is lost by it.
+    /// Records a failed call. Returns whether the store became unavailable with it.
     pub(super) fn record_failure(&mut self, now_ms: u64) -> bool {
-        let is_lost = !self.is_unavailable(now_ms);
+        let is_new_outage = !self.is_unavailable(now_ms);
         self.failed_ms = Some(now_ms);
-        self.answers = false;
-        is_lost
+        self.is_answering = false;
+        is_new_outage
     }
 
-    /// Notes an answer. Returns since when the store was away, where it is back by now.
+    /// Records an answer. If it ends an outage, returns when a call last failed.
     pub(super) fn record_answer(&mut self, now_ms: u64) -> Option<u64> {
-        self.answers = true;
+        self.is_answering = true;
         self.answered_ms = Some(now_ms);
         if self.is_unavailable(now_ms) {
             return None;
