--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -1,7 +1,7 @@
-//! The datagram that instances send one another, and its bytes.
+//! Contents and encoding of the datagrams that instances send to one another.
 //!
-//! A datagram is the sender's heartbeat, the same for a whole availability zone, followed by a part
-//! for its one recipient. It is binary: text takes three times the bytes.
+//! A datagram consists of the sender's heartbeat, which is the same for all recipients in an availability
+//! zone, and a part for the one recipient. The encoding is binary; JSON takes three times as many bytes.
 
 use std::net::SocketAddr;
 
@@ -14,125 +14,126 @@
 use crate::relay::{RetryAmount, RetryLoan};
 use crate::wire::engine::LayerRange;
 
-/// What an instance tells the others of itself and of the endpoints.
+/// What an instance reports to its peers about itself and the endpoints.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub(super) instance: InstanceId,
     pub(super) incarnation: Incarnation,
     pub(super) zone: ZoneName,
-    /// Where callers connect.
+    /// Address for callers.
     pub(super) front: SocketAddr,
-    /// Speed of its link: the fastest instances speak for their zone.
+    /// Speed of its link. Instances with faster links rank ahead of others.
     pub(super) link_mbps: u32,
-    /// How long it takes until everybody in other zones has been told of it: the silence of one that
-    /// tells them often soon means something.
-    pub(super) turn_ms: u32,
+    /// Interval in which its heartbeats reach every instance of other zones. Their time-out for this
+    /// instance depends on it.
+    pub(super) cross_zone_interval_ms: u32,
     pub(super) availability: Availability,
-    /// Version of the table of routes in force.
+    /// Version of the route table in force.
     pub(super) table: u64,
-    /// Age of that table.
+    /// Age of the route table.
     pub(super) table_age_ms: u64,
-    /// How far the sender knows the list of endpoints.
+    /// How much of the endpoint list the sender knows.
     pub(super) list: ListWatermark,
-    /// Age of that list.
+    /// Age of the endpoint list.
     pub(super) list_age_ms: u64,
     /// Time since the store last answered the sender, if it reads the store itself.
     pub(super) store_age_ms: Option<u64>,
-    /// When it was sent, on the sender's clock.
+    /// Time of sending, on the sender's clock.
     pub(super) sent_ms: u64,
     /// Endpoints that do not answer.
     pub(super) unhealthy: Vec<EndpointId>,
-    /// Endpoints that are leaving or gone.
+    /// Endpoints that are leaving or have left.
     pub(super) leaving: Vec<EndpointId>,
-    /// Endpoints that have said to the sender that they leave, which holds whatever the list shows.
-    pub(super) said_leaving: Vec<EndpointId>,
-    /// Engines that were ordered to hold other layers.
-    pub(super) moving: Vec<(EndpointId, LayerRange)>,
-    /// What this instance's streams take up, by engine.
+    /// Endpoints that have themselves told the sender that they are leaving. This holds whatever the
+    /// endpoint list shows.
+    pub(super) self_reported_leaving: Vec<EndpointId>,
+    /// Engines that were ordered to load other layers.
+    pub(super) layer_moves: Vec<(EndpointId, LayerRange)>,
+    /// Load that the sender's streams put on each engine.
     pub(super) held: Vec<(EndpointId, EngineLoad)>,
-    /// Leases on the orders to engines that this instance gave up, by service, and the highest
-    /// fencing number it gave orders under.
-    pub(super) given_up: Vec<(ServiceName, u64)>,
-    /// Instances that the sender knows of, itself included.
+    /// Leases on orders to engines that the sender has released: for each service, the highest fencing
+    /// number under which it issued orders.
+    pub(super) released_leases: Vec<(ServiceName, u64)>,
+    /// Number of instances that the sender knows of, including itself.
     pub(super) known_instances: u32,
-    /// Repeats that the sender lacks; told to its own zone.
+    /// Retries that the sender lacks; empty in heartbeats to other zones.
     pub(super) retry_needs: Vec<RetryAmount>,
-    /// What is known of requests under which endpoints have ended.
+    /// Evidence about requests during which endpoints crashed.
     pub(super) evidence: EvidenceReport,
-    /// Limits that endpoints have named to the sender.
+    /// Rate limits that endpoints have announced to the sender.
     pub(super) limits: Vec<LimitReport>,
 }
 
-/// The newest heartbeat that the sender of a datagram has from its recipient.
+/// Identifies the newest heartbeat that the sender of a datagram has received from its recipient.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Echo {
-    /// The recipient's process that sent it.
+    /// The process of the recipient that sent that heartbeat.
     pub(super) incarnation: Incarnation,
-    /// When it was sent, on the recipient's clock.
+    /// Its time of sending, on the recipient's clock.
     pub(super) sent_ms: u64,
 }
 
-/// Part of a datagram for its one recipient.
+/// The part of a datagram that only concerns its recipient.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PeerPart {
     pub(super) echo: Option<Echo>,
-    /// Repeats lent for the needs in the heartbeat that `echo` names.
+    /// Retries lent for the needs in the heartbeat that `echo` identifies.
     pub(super) lent: Vec<RetryLoan>,
-    /// What the sender has not used of the recipient's loans.
-    pub(super) given_back: Vec<RetryLoan>,
+    /// Unused remainders of the recipient's loans.
+    pub(super) returned: Vec<RetryLoan>,
 }
 
-/// Whether callers should come to an instance.
+/// What an instance can do for callers and for other instances.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Availability {
-    /// It serves everybody.
+    /// It serves every request.
     pub(crate) is_ready: bool,
-    /// It serves, though it may have to refuse requests with keys.
+    /// It accepts requests, but may have to refuse those with keys.
     pub(crate) is_open: bool,
-    /// It reads the store itself and is answered, so that it can take the lease on orders to engines.
+    /// It reads the store itself and gets answers, so it can take the lease on orders to engines.
     pub(crate) reaches_store: bool,
-    /// What the store has reaches it soon: it is answered itself, or hears one in its zone that is.
+    /// Changes of the store reach it promptly: the store answers it, or an instance of its zone that it
+    /// hears.
     pub(crate) receives_store_updates: bool,
 }
 
 impl Availability {
-    /// Whether the instance serves everybody and learns of changes as soon as any.
+    /// Whether the instance serves every request and receives changes promptly.
     pub(crate) fn is_current(self) -> bool {
         self.is_ready && self.receives_store_updates
     }
 
-    /// Whether the instance can give orders to engines.
+    /// Whether the instance can issue orders to engines.
     pub(crate) fn may_lead(self) -> bool {
         self.is_ready && self.reaches_store
     }
 }
 
-/// What an instance says of itself.
+/// The part of a heartbeat that the instance knows outside its peer book.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnState {
-    /// Whether callers should come here.
     pub(crate) availability: Availability,
-    /// Version of the table of routes in force.
+    /// Version of the route table in force.
     pub(crate) table: u64,
-    /// Age of that table.
+    /// Age of the route table.
     pub(crate) table_age_ms: u64,
-    /// How far the list of endpoints is known.
+    /// How much of the endpoint list is known here.
     pub(crate) list: ListWatermark,
-    /// Age of that list.
+    /// Age of the endpoint list.
     pub(crate) list_age_ms: u64,
-    /// Time since the store last answered, if it is read here.
+    /// Time since the store last answered, if this instance reads it.
     pub(crate) store_age_ms: Option<u64>,
-    /// What this instance's streams hold.
+    /// Load that this instance's streams put on engines.
     pub(crate) held: Vec<HeldLoad>,
-    /// Repeats that are missing here.
+    /// Retries that this instance lacks.
     pub(crate) retry_needs: Vec<RetryAmount>,
-    /// What others should know of requests under which endpoints have ended.
+    /// Evidence for peers about requests during which endpoints crashed.
     pub(crate) evidence: EvidenceReport,
-    /// Limits that endpoints have named to this instance.
+    /// Rate limits that endpoints have announced to this instance.
     pub(crate) limits: Vec<LimitReport>,
 }
 
-/// What an instance's streams hold at one engine.
+/// Load that an instance's streams put on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldLoad {
     pub(crate) endpoint: EndpointId,
@@ -141,12 +142,12 @@
     pub(crate) load: EngineLoad,
 }
 
-/// Writes the part of a datagram that all of its recipients share.
+/// Encodes the part of a datagram that is the same for all recipients in a zone.
 pub(super) fn heartbeat_bytes(heartbeat: &Heartbeat) -> Result<Vec<u8>, postcard::Error> {
     postcard::to_stdvec(heartbeat)
 }
 
-/// Writes a whole datagram.
+/// Encodes a datagram from an encoded heartbeat and the part for its recipient.
 pub(super) fn datagram(
     heartbeat_bytes: &[u8],
     peer_part: &PeerPart,
@@ -154,7 +155,6 @@
     postcard::to_extend(peer_part, heartbeat_bytes.to_vec())
 }
 
-/// Reads a datagram.
 pub(super) fn read_datagram(bytes: &[u8]) -> Result<(Heartbeat, PeerPart), postcard::Error> {
     let (heartbeat, rest) = postcard::take_from_bytes(bytes)?;
     Ok((heartbeat, postcard::from_bytes(rest)?))
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -1,4 +1,4 @@
-//! One other instance, as its record and its heartbeats show it.
+//! What is known of one other instance from its record and its heartbeats.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -8,16 +8,16 @@
 use super::heartbeat::{Availability, Echo, Heartbeat};
 use super::list_log::ListWatermark;
 use super::snapshot::KnownVersions;
-use super::store_readers::STALE_MS;
+use super::store_readers::STORE_STALE_MS;
 use crate::fleet::EngineLoad;
 use crate::ids::{EndpointId, Incarnation, InstanceId, ZoneName};
 use crate::relay::RetryAmount;
 
-/// Silence after which a peer is not named to callers any more: two heartbeats may be lost.
-const SILENT_MS: u64 = 800;
-/// Silence beyond two turns after which a peer of another zone is not named any more: the network, and
-/// a period that began late.
-const FAR_SLACK_MS: u64 = 300;
+/// Silence after which callers are no longer sent to a peer. Two heartbeats in a row may be lost.
+const PEER_TIMEOUT_MS: u64 = 800;
+/// Added to two cross-zone intervals for the time-out of a peer in another zone. Covers network delay and
+/// a heartbeat that was sent late.
+const CROSS_ZONE_SLACK_MS: u64 = 300;
 
 /// An instance's record in the store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -27,12 +27,12 @@
     pub(super) zone: ZoneName,
     pub(super) front: SocketAddr,
     pub(super) peers: SocketAddr,
-    /// Speed of its link; records of earlier releases lack it.
+    /// Missing in records of earlier releases.
     #[serde(default)]
     pub(super) link_mbps: u32,
 }
 
-/// What is known of another instance.
+/// State of another instance.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) address: SocketAddr,
@@ -40,77 +40,75 @@
     pub(super) zone: ZoneName,
     pub(super) front: SocketAddr,
     pub(super) link_mbps: u32,
-    /// How long it takes until it has told everybody in other zones.
-    pub(super) turn_ms: u32,
+    /// Interval in which its heartbeats reach every instance of other zones.
+    pub(super) cross_zone_interval_ms: u32,
     pub(super) availability: Availability,
-    /// Version of its table of routes.
+    /// Version of its route table.
     pub(super) table: u64,
-    /// How far it knows the list of endpoints.
+    /// How much of the endpoint list it knows.
     pub(super) list: ListWatermark,
     /// When the store last answered it, if it reads the store.
     pub(super) store_answered_ms: Option<u64>,
-    /// When its record was read, or its first heartbeat came.
+    /// When its record was read, or its first heartbeat arrived.
     pub(super) known_since_ms: u64,
-    /// When its newest heartbeat came.
+    /// When its most recent heartbeat arrived.
     pub(super) heard_ms: Option<u64>,
-    /// When its newest heartbeat was sent, on its own clock.
+    /// When its most recent heartbeat was sent, on its own clock.
     pub(super) sent_ms: u64,
-    /// The latest sending time heard of its process; a heartbeat may come twice, or after a later one.
+    /// The latest `sent_ms` received from its process. Differs from `sent_ms` when a heartbeat arrives
+    /// after one that was sent later.
     pub(super) newest_sent_ms: u64,
     /// Instances that it knows of.
     pub(super) known_instances: u32,
-    /// Repeats that it lacks, until they were answered.
+    /// Retries that it lacks; emptied when they have been answered.
     pub(super) retry_needs: Vec<RetryAmount>,
+    /// Load that its streams put on engines.
     pub(super) held: Vec<(EndpointId, EngineLoad)>,
-    /// Whether `held` is in the sums that were handed out last.
+    /// Whether `held` is included in the sums returned last.
     pub(super) is_counted: bool,
 }
 
-/// A peer that may know what the store does not tell here.
+/// A peer that can be asked for routes and endpoints that are not known here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct SyncSource {
-    /// Its name.
     pub(crate) instance: InstanceId,
-    /// Where it is asked.
     pub(crate) address: SocketAddr,
-    /// Version of its table of routes.
+    /// Version of its route table.
     pub(crate) table: u64,
-    /// How far it knows the list of endpoints.
+    /// How much of the endpoint list it knows.
     pub(crate) list: ListWatermark,
-    /// Speed of its link; 0 if that is not known.
+    /// Speed of its link; 0 if unknown.
     pub(crate) link_mbps: u32,
     /// Whether the store answers it.
     pub(crate) reaches_store: bool,
-    /// Whether it is in the own zone.
     pub(crate) is_same_zone: bool,
 }
 
 impl SyncSource {
-    /// Whether it knows what one that knows so far does not.
+    /// Whether its route table or endpoint list is newer than `known`.
     pub(super) fn is_ahead_of(&self, known: KnownVersions) -> bool {
         self.table > known.table || self.list.last_change > known.list
     }
 }
 
-/// Where a heartbeat goes.
+/// Destination of a heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Recipient {
     pub(super) address: SocketAddr,
-    /// Availability zone of the recipient.
     pub(super) zone: ZoneName,
     pub(super) echo: Option<Echo>,
 }
 
 impl Peer {
     /// An instance of which only the record in the store is known.
-    pub(super) fn on_record(record: &InstanceRecord, now_ms: u64) -> Self {
+    pub(super) fn from_record(record: &InstanceRecord, now_ms: u64) -> Self {
         Self {
             address: record.peers,
             incarnation: record.incarnation,
             zone: record.zone.clone(),
             front: record.front,
             link_mbps: record.link_mbps,
-            turn_ms: 0,
+            cross_zone_interval_ms: 0,
             availability: Availability::default(),
             table: 0,
             list: ListWatermark::default(),
@@ -126,8 +124,8 @@
         }
     }
 
-    /// An instance that was just heard.
-    pub(super) fn heard(heartbeat: &Heartbeat, address: SocketAddr, now_ms: u64) -> Self {
+    /// An instance whose heartbeat has just arrived.
+    pub(super) fn from_heartbeat(heartbeat: &Heartbeat, address: SocketAddr, now_ms: u64) -> Self {
         let answered_ms = |age_ms| now_ms.saturating_sub(age_ms);
         Self {
             address,
@@ -135,7 +133,7 @@
             zone: heartbeat.zone.clone(),
             front: heartbeat.front,
             link_mbps: heartbeat.link_mbps,
-            turn_ms: heartbeat.turn_ms,
+            cross_zone_interval_ms: heartbeat.cross_zone_interval_ms,
             availability: heartbeat.availability,
             table: heartbeat.table,
             list: heartbeat.list,
@@ -151,8 +149,8 @@
         }
     }
 
-    /// When the last sign of it came.
-    pub(super) fn last_sign_ms(&self) -> u64 {
+    /// When its last heartbeat arrived, or else when it became known.
+    pub(super) fn last_seen_ms(&self) -> u64 {
         self.heard_ms.unwrap_or(self.known_since_ms)
     }
 
@@ -161,29 +159,30 @@
             .is_some_and(|at_ms| now_ms < at_ms + within_ms)
     }
 
-    /// Whether the store has lately answered it.
-    pub(super) fn is_answered(&self, now_ms: u64) -> bool {
+    /// Whether the store has answered it recently.
+    pub(super) fn has_recent_store_answer(&self, now_ms: u64) -> bool {
         self.store_answered_ms
-            .is_some_and(|at_ms| now_ms < at_ms + STALE_MS)
+            .is_some_and(|at_ms| now_ms < at_ms + STORE_STALE_MS)
     }
 
-    /// Silence after which it is not named any more. Of the heartbeats to another zone, as of those to
-    /// the own, two may be lost.
-    pub(super) fn silent_after_ms(&self, own_zone: &ZoneName) -> u64 {
+    /// Silence after which callers are no longer sent to it. Two heartbeats in a row may be lost, within
+    /// the zone as well as between zones.
+    pub(super) fn timeout_ms(&self, own_zone: &ZoneName) -> u64 {
         if self.zone == *own_zone {
-            SILENT_MS
+            PEER_TIMEOUT_MS
         } else {
-            SILENT_MS.max(2 * u64::from(self.turn_ms) + FAR_SLACK_MS)
+            let two_intervals_ms = 2 * u64::from(self.cross_zone_interval_ms);
+            PEER_TIMEOUT_MS.max(two_intervals_ms + CROSS_ZONE_SLACK_MS)
         }
     }
 
-    /// Place among instances: those with the fastest links come first.
+    /// Sort key among instances: those with the fastest links come first.
     pub(super) fn rank<'a>(&self, name: &'a InstanceId) -> (Reverse<u32>, &'a InstanceId) {
         (Reverse(self.link_mbps), name)
     }
 
-    pub(super) fn as_recipient(&self, silent_after_ms: u64, now_ms: u64) -> Recipient {
-        let is_heard = self.is_heard(silent_after_ms, now_ms);
+    pub(super) fn to_recipient(&self, timeout_ms: u64, now_ms: u64) -> Recipient {
+        let is_heard = self.is_heard(timeout_ms, now_ms);
         Recipient {
             address: self.address,
             zone: self.zone.clone(),
--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -1,4 +1,4 @@
-//! What is known of the other instances, and what they must be told.
+//! State of the other instances, and what the next heartbeat has to announce to them.
 
 use std::cmp::Reverse;
 use std::net::SocketAddr;
@@ -20,40 +20,40 @@
 use crate::relay::Lender;
 use crate::wire::engine::LayerRange;
 
-/// Pause between two heartbeats.
 pub(super) const HEARTBEAT_INTERVAL_MS: u64 = 250;
-/// Silence after which a peer is forgotten.
-const FORGET_MS: u64 = 60_000;
-/// Silence after which the holder of a lease is taken for ended: four heartbeats. It costs nothing but a
-/// change of the holder if it lives, and a zone without a layer waits for nobody longer.
-const HOLDER_SILENT_MS: u64 = 1_000;
-/// Heartbeats sent in one period to instances of other zones, by one that is not among the first of its
-/// own. Sent to all of 156 each time, with what they held, heartbeats filled links of 20 Mbit/s.
-const FAR_IN_TURN: usize = 8;
-/// Periods within which one of the first of a zone, or one that the store answers, tells everybody in
-/// other zones.
-const SPEAKERS_TURN: usize = 2;
-/// How long after the start of this process one on record that was not heard may be starting too.
-const START_MS: u64 = 1_000;
-/// How much longer than it is named to callers a silent instance may be sending requests to endpoints.
+/// How long a silent peer is kept.
+const PEER_TTL_MS: u64 = 60_000;
+/// Silence after which the holder of a lease is presumed to have ended: four heartbeats. If it is in fact
+/// alive, the only cost is a change of holder; a zone without a layer waits no longer than this for it.
+const HOLDER_TIMEOUT_MS: u64 = 1_000;
+/// Instances of other zones that receive each heartbeat of an instance that is neither top-ranked in its
+/// zone nor answered by the store. Heartbeats with all loads to all 156 of them filled 20 Mbit/s links.
+const CROSS_ZONE_FANOUT: usize = 8;
+/// Number of heartbeats within which an instance that is top-ranked in its zone, or that the store answers,
+/// reaches all instances of other zones.
+const FAST_ROTATION_HEARTBEATS: usize = 2;
+/// How long after the start of this process an instance that has a record but was not heard may still be
+/// starting.
+const STARTUP_MS: u64 = 1_000;
+/// How long after its time-out a silent instance is assumed to go on sending requests to endpoints.
 const SENDER_MARGIN_MS: u64 = 2_000;
-/// Most endpoints of one sort of news in a heartbeat, the others follow with the next: a plan for thousands
-/// of engines, or the loss of as many, would make a datagram that no peer can read.
-const MOST_NEWS: usize = 256;
+/// Limit of each kind of endpoint update in a heartbeat; the others follow in the next one. A plan for
+/// thousands of engines, or the loss of as many, would otherwise exceed the size that peers can receive.
+const MAX_UPDATES: usize = 256;
 
-/// Whether the holder of a lease has ended.
+/// Whether the holder of a lease still issues orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HolderStatus {
-    /// It gives no more orders.
+    /// It issues no more orders.
     Ended,
-    /// It seems so; orders that it gives after all must be turned away by the engines.
+    /// It has probably ended. If it issues further orders, engines must reject them.
     PresumedEnded,
-    /// It may be at work.
+    /// It may still issue orders.
     Active,
 }
 
 impl HolderStatus {
-    /// The status as log lines print it.
+    /// The value written to log lines, which differs from the variant's name.
     pub(crate) fn log_value(self) -> &'static str {
         match self {
             Self::Ended => "Surely",
@@ -63,18 +63,18 @@
     }
 }
 
-/// Which loads of this instance those of another zone are told of.
+/// Which of this instance's loads are sent to instances of another zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum FarLoads {
-    /// All. While a zone lacks engines the others send to those of a third, where each must know what
-    /// the others have there.
-    AtAllEngines,
-    /// Those at engines of their zone, which they use nearly always. Where there are too many instances
-    /// to be told each time, loads elsewhere would be old and fill the links.
-    AtTheirEngines,
+pub(super) enum CrossZoneLoads {
+    /// Those on all engines. If a zone lacks engines, other zones may send to those of a third zone and need
+    /// to know one another's load there.
+    AllEngines,
+    /// Those on engines of the recipient's zone, which it uses almost exclusively. In a fleet too large to
+    /// send every heartbeat to every instance, other loads would be outdated on arrival and fill the links.
+    RecipientZoneEngines,
 }
 
-/// The other instances.
+/// The other instances, and updates queued for them.
 #[derive(Debug)]
 pub(crate) struct PeerBook {
     own_zone: ZoneName,
@@ -85,17 +85,18 @@
     peers: IndexMap<InstanceId, Peer>,
     unhealthy: UpdateQueue<EndpointId>,
     leaving: UpdateQueue<EndpointId>,
-    said_leaving: UpdateQueue<EndpointId>,
-    moving: Vec<(EndpointId, LayerRange)>,
-    /// Highest fencing number under which this instance gives no more orders.
-    given_up: IndexMap<ServiceName, u64>,
-    /// The same of peers.
-    given_up_by_peers: IndexMap<ServiceName, u64>,
-    /// Since when heartbeats are listened for.
+    self_reported_leaving: UpdateQueue<EndpointId>,
+    layer_moves: Vec<(EndpointId, LayerRange)>,
+    /// Leases that this instance has released, by the highest fencing number under which it issued orders.
+    released_leases: IndexMap<ServiceName, u64>,
+    /// Leases that peers have released, in the same form.
+    peer_released_leases: IndexMap<ServiceName, u64>,
+    /// When this process started to listen for heartbeats.
     listening_since_ms: u64,
-    has_news: bool,
-    /// How far the turn of recipients in other zones has come.
-    far_turn: Rotation,
+    /// Whether a heartbeat is to be sent without waiting for the next interval.
+    is_heartbeat_requested: bool,
+    /// Selects the recipients in other zones.
+    cross_zone_rotation: Rotation,
 }
 
 impl PeerBook {
@@ -109,113 +110,120 @@
             peers: IndexMap::new(),
             unhealthy: UpdateQueue::default(),
             leaving: UpdateQueue::default(),
-            said_leaving: UpdateQueue::default(),
-            moving: Vec::new(),
-            given_up: IndexMap::new(),
-            given_up_by_peers: IndexMap::new(),
+            self_reported_leaving: UpdateQueue::default(),
+            layer_moves: Vec::new(),
+            released_leases: IndexMap::new(),
+            peer_released_leases: IndexMap::new(),
             listening_since_ms: now_ms,
-            has_news: false,
-            far_turn: Rotation::default(),
+            is_heartbeat_requested: false,
+            cross_zone_rotation: Rotation::default(),
         }
     }
 
-    /// Takes a peer's record from the store; what the peer tells by itself goes before it.
+    /// Adds a peer from its record in the store, unless the peer is known already: its heartbeats are more
+    /// recent.
     pub(super) fn add_record(&mut self, record: InstanceRecord, now_ms: u64) {
         if record.instance == self.own_instance {
             return;
         }
-        let peer = Peer::on_record(&record, now_ms);
+        let peer = Peer::from_record(&record, now_ms);
         self.peers.entry(record.instance).or_insert(peer);
     }
 
-    /// Whom the next heartbeat goes to: the whole zone, and of the other zones those whose turn it is.
+    /// Recipients of the next heartbeat: all instances of the own zone, and the next few of the others.
     pub(super) fn recipients(&mut self, own: Availability, now_ms: u64) -> Vec<Recipient> {
-        let in_turn = self.far_in_turn(own, now_ms);
-        let is_near = |peer: &&Peer| peer.zone == self.own_zone;
-        let (near, far): (Vec<&Peer>, Vec<&Peer>) = self.peers.values().partition(is_near);
-        let turn = self.far_turn.next_batch(&far, in_turn);
-        near.iter()
-            .chain(turn)
-            .map(|peer| peer.as_recipient(self.silent_after_ms(peer), now_ms))
+        let fanout = self.cross_zone_fanout(own, now_ms);
+        let is_in_zone = |peer: &&Peer| peer.zone == self.own_zone;
+        let (in_zone, elsewhere): (Vec<&Peer>, Vec<&Peer>) =
+            self.peers.values().partition(is_in_zone);
+        let batch = self.cross_zone_rotation.next_batch(&elsewhere, fanout);
+        in_zone
+            .iter()
+            .chain(batch)
+            .map(|peer| peer.to_recipient(self.timeout_ms(peer), now_ms))
             .collect()
     }
 
-    /// How many in other zones a heartbeat goes to. The one that gives the orders tells everybody each
-    /// time, so that its end is noticed within a second.
-    fn far_in_turn(&self, own: Availability, now_ms: u64) -> usize {
-        let far = self.far_count();
-        let in_turn = if own.may_lead() && self.is_preferred_leader(now_ms) {
-            far
+    /// Number of recipients of a heartbeat in other zones. The instance that issues orders sends each
+    /// heartbeat to everyone, so that its end is noticed within a second.
+    fn cross_zone_fanout(&self, own: Availability, now_ms: u64) -> usize {
+        let peers = self.cross_zone_peers();
+        let fanout = if own.may_lead() && self.is_preferred_leader(now_ms) {
+            peers
         } else if own.reaches_store || self.is_top_ranked_in_zone(now_ms) {
-            far.div_ceil(SPEAKERS_TURN).max(FAR_IN_TURN)
+            peers
+                .div_ceil(FAST_ROTATION_HEARTBEATS)
+                .max(CROSS_ZONE_FANOUT)
         } else {
-            FAR_IN_TURN
+            CROSS_ZONE_FANOUT
         };
-        in_turn.min(far)
+        fanout.min(peers)
     }
 
-    /// Which loads instances of other zones are told of.
-    pub(super) fn far_loads(&self) -> FarLoads {
-        if self.far_count() <= FAR_IN_TURN {
-            FarLoads::AtAllEngines
+    /// Which loads are sent to instances of other zones.
+    pub(super) fn cross_zone_loads(&self) -> CrossZoneLoads {
+        if self.cross_zone_peers() <= CROSS_ZONE_FANOUT {
+            CrossZoneLoads::AllEngines
         } else {
-            FarLoads::AtTheirEngines
+            CrossZoneLoads::RecipientZoneEngines
         }
     }
 
-    fn far_count(&self) -> usize {
-        let far = self.peers.values().filter(|it| it.zone != self.own_zone);
-        far.count()
+    fn cross_zone_peers(&self) -> usize {
+        let peers = self.peers.values();
+        peers.filter(|it| it.zone != self.own_zone).count()
     }
 
-    fn turn_ms(&self, own: Availability, now_ms: u64) -> u32 {
-        let in_turn = self.far_in_turn(own, now_ms).max(1);
-        let periods = self.far_count().div_ceil(in_turn).max(1) as u64;
-        u32::try_from(periods * HEARTBEAT_INTERVAL_MS).unwrap_or(u32::MAX)
+    /// Interval in which heartbeats reach every instance of other zones.
+    fn cross_zone_interval_ms(&self, own: Availability, now_ms: u64) -> u32 {
+        let fanout = self.cross_zone_fanout(own, now_ms).max(1);
+        let heartbeats = self.cross_zone_peers().div_ceil(fanout).max(1) as u64;
+        u32::try_from(heartbeats * HEARTBEAT_INTERVAL_MS).unwrap_or(u32::MAX)
     }
 
-    /// Whether this instance is one of the first of its zone: those with the fastest links.
+    /// Whether this instance ranks among the [`READERS_PER_ZONE`] first of its zone: those with the fastest
+    /// links.
     pub(super) fn is_top_ranked_in_zone(&self, now_ms: u64) -> bool {
-        self.before(now_ms).count() < READERS_PER_ZONE
+        self.ranked_ahead(now_ms).count() < READERS_PER_ZONE
     }
 
-    /// Instances of the zone that come before this one. One that was never heard counts for as long as
+    /// Instances of the zone that rank ahead of this one. One that was never heard counts for as long as
     /// it may be starting.
-    fn before(&self, now_ms: u64) -> impl Iterator<Item = &Peer> {
+    fn ranked_ahead(&self, now_ms: u64) -> impl Iterator<Item = &Peer> {
         let own = (Reverse(self.own_link_mbps), &self.own_instance);
-        let is_starting = now_ms < self.listening_since_ms + START_MS;
+        let is_starting = now_ms < self.listening_since_ms + STARTUP_MS;
         self.peers
             .iter()
             .filter(move |(name, peer)| {
-                let may_live =
+                let may_be_alive =
                     self.is_heard(peer, now_ms) || (peer.heard_ms.is_none() && is_starting);
-                peer.zone == self.own_zone && may_live && peer.rank(name) < own
+                peer.zone == self.own_zone && may_be_alive && peer.rank(name) < own
             })
             .map(|(_, peer)| peer)
     }
 
-    /// Instances that share a budget, this one included. All that are on record count, since one
-    /// that is only cut off goes on repeating; and as many as any peer knows of, since a process that
-    /// has just started has heard few.
+    /// Number of instances that share a retry budget, including this one. Every known instance counts, since
+    /// one that is merely unreachable continues to retry. If a peer knows of more, its number is used, since
+    /// a process that has just started has heard few.
     pub(crate) fn known_instances(&self) -> u32 {
-        let told = self.peers.values().map(|peer| peer.known_instances);
-        told.max().unwrap_or(0).max(self.own_known_instances())
+        let reported = self.peers.values().map(|peer| peer.known_instances);
+        reported.max().unwrap_or(0).max(self.own_known_instances())
     }
 
     fn own_known_instances(&self) -> u32 {
         1 + u32::try_from(self.peers.len()).unwrap_or(u32::MAX - 1)
     }
 
-    /// Peers of the own zone that are heard: those that this instance and others lend repeats to.
-    pub(super) fn near_heard(&mut self, now_ms: u64) -> impl Iterator<Item = &mut Peer> {
+    /// Peers of the own zone that are heard. Retries are only lent among them.
+    pub(super) fn heard_in_own_zone(&mut self, now_ms: u64) -> impl Iterator<Item = &mut Peer> {
         let own_zone = &self.own_zone;
         let peers = self.peers.values_mut();
         peers.filter(move |peer| {
-            peer.zone == *own_zone && peer.is_heard(peer.silent_after_ms(own_zone), now_ms)
+            peer.zone == *own_zone && peer.is_heard(peer.timeout_ms(own_zone), now_ms)
         })
     }
 
-    /// This instance among those that may send requests to an endpoint with a limit.
+    /// This instance as a candidate for sending requests to an endpoint with a rate limit.
     pub(super) fn own_sender(&self) -> Sender<'_> {
         Sender {
             instance: &self.own_instance,
@@ -223,12 +231,12 @@
         }
     }
 
-    /// The others among them. One that has fallen silent counts for a while longer: it may only be out of
-    /// reach, and go on sending.
+    /// The other candidates. A silent one counts for some time longer, as it may be unreachable from here
+    /// and still send requests.
     pub(super) fn other_senders(&self, now_ms: u64) -> Vec<Sender<'_>> {
         let may_send = |peer: &Peer| {
-            let silent_ms = self.silent_after_ms(peer) + SENDER_MARGIN_MS;
-            now_ms < peer.last_sign_ms() + silent_ms
+            let timeout_ms = self.timeout_ms(peer) + SENDER_MARGIN_MS;
+            now_ms < peer.last_seen_ms() + timeout_ms
         };
         let peers = self.peers.iter().filter(|(_, peer)| may_send(peer));
         let senders = peers.map(|(instance, peer)| Sender {
@@ -238,21 +246,22 @@
         senders.collect()
     }
 
-    /// Where the heard instances of some zones take datagrams.
-    pub(super) fn heard_in(&self, zones: &IndexSet<ZoneName>, now_ms: u64) -> Vec<SocketAddr> {
+    /// Addresses of the heard peers in some zones.
+    pub(super) fn addresses_in(&self, zones: &IndexSet<ZoneName>, now_ms: u64) -> Vec<SocketAddr> {
         let peers = self.peers.values();
         let heard = peers.filter(|it| zones.contains(&it.zone) && self.is_heard(it, now_ms));
         heard.map(|it| it.address).collect()
     }
 
-    /// Where the process that lent repeats takes heartbeats, if it is known to run still.
+    /// Address of the process that lent retries, unless its instance has been restarted or is no longer
+    /// known.
     pub(super) fn address_of(&self, lender: &Lender) -> Option<SocketAddr> {
         let peer = self.peers.get(&lender.instance);
         let peer = peer.filter(|it| it.incarnation == lender.incarnation);
         peer.map(|it| it.address)
     }
 
-    /// Whether a heartbeat was sent after all that were heard of its process.
+    /// Whether a heartbeat was sent later than all that have arrived from its process.
     pub(super) fn is_newest(&self, heartbeat: &Heartbeat) -> bool {
         let known = self.peers.get(&heartbeat.instance);
         let known = known.filter(|it| it.incarnation == heartbeat.incarnation);
@@ -260,7 +269,7 @@
     }
 
     /// What decides whether this instance reads the store. `own_answered_ms` is when the store last
-    /// answered here.
+    /// answered this instance.
     pub(super) fn store_reader_view(
         &self,
         is_reader: bool,
@@ -269,25 +278,25 @@
     ) -> StoreReaderView {
         let in_zone = self.peers.values().filter(|it| it.zone == self.own_zone);
         let answers = in_zone.filter_map(|peer| peer.store_answered_ms);
-        let is_answered = |peer: &&Peer| peer.is_answered(now_ms);
+        let is_answered = |peer: &&Peer| peer.has_recent_store_answer(now_ms);
         StoreReaderView {
-            rank: self.before(now_ms).count(),
-            answered_ahead: self.before(now_ms).filter(is_answered).count(),
+            rank: self.ranked_ahead(now_ms).count(),
+            answered_ahead: self.ranked_ahead(now_ms).filter(is_answered).count(),
             answered_ms: answers.chain(own_answered_ms).max(),
             started_ms: self.listening_since_ms,
             is_reader,
         }
     }
 
-    /// Whether an instance of the zone that reads the store was lately answered.
+    /// Whether the store has recently answered a peer of the own zone that reads it.
     pub(super) fn zone_has_store_reader(&self, now_ms: u64) -> bool {
         let mut peers = self.peers.values();
-        peers.any(|peer| peer.zone == self.own_zone && peer.is_answered(now_ms))
+        peers.any(|peer| peer.zone == self.own_zone && peer.has_recent_store_answer(now_ms))
     }
 
-    /// Whether this instance, which can give orders, comes first among those that can: they are ready,
-    /// and the store, which keeps the lease, answers them. All of them speak for their zone, so that
-    /// their end is soon noticed everywhere.
+    /// Whether this instance, if it can issue orders itself, ranks first among those that can: they are
+    /// ready, and the store, which keeps the lease, answers them. Their heartbeats reach other zones often,
+    /// so that their end is noticed everywhere soon.
     pub(crate) fn is_preferred_leader(&self, now_ms: u64) -> bool {
         let own = (Reverse(self.own_link_mbps), &self.own_instance);
         self.peers.iter().all(|(name, peer)| {
@@ -295,8 +304,8 @@
         })
     }
 
-    /// Peers to ask for what the store does not tell here, the one with the freshest table first.
-    /// Those that the store answers go before others.
+    /// Peers to ask for routes and endpoints: those that the store answers come first, then those with the
+    /// newest route table.
     pub(crate) fn sync_sources(&self, now_ms: u64) -> Vec<SyncSource> {
         let mut heard: Vec<SyncSource> = self
             .peers
@@ -316,13 +325,13 @@
         heard
     }
 
-    /// Whether another instance serves everybody.
+    /// Whether another instance serves every request.
     pub(crate) fn has_ready_peer(&self, now_ms: u64) -> bool {
         let mut peers = self.peers.values();
         peers.any(|peer| peer.availability.is_ready && self.is_heard(peer, now_ms))
     }
 
-    /// Addresses for a caller of a zone.
+    /// Addresses of instances for a caller in `zone`.
     pub(crate) fn addresses_for(
         &self,
         zone: &ZoneName,
@@ -345,51 +354,53 @@
         locate::addresses_for(zone, &candidates)
     }
 
-    /// Has peers told that an endpoint does not answer.
+    /// Announces that an endpoint does not answer.
     pub(crate) fn announce_unhealthy(&mut self, endpoint: &EndpointId) {
         self.unhealthy.push(endpoint);
-        self.has_news = true;
+        self.is_heartbeat_requested = true;
     }
 
-    /// Has peers told that an endpoint is leaving.
+    /// Announces that an endpoint is leaving.
     pub(crate) fn announce_leaving(&mut self, endpoint: &EndpointId) {
         self.leaving.push(endpoint);
-        self.has_news = true;
+        self.is_heartbeat_requested = true;
     }
 
-    /// Has peers told that an endpoint has itself said that it leaves.
+    /// Announces that an endpoint has itself reported that it is leaving.
     pub(crate) fn announce_self_reported_leaving(&mut self, endpoint: &EndpointId) {
-        self.said_leaving.push(endpoint);
-        self.has_news = true;
+        self.self_reported_leaving.push(endpoint);
+        self.is_heartbeat_requested = true;
     }
 
-    /// Has peers told at once what is known here of routes and endpoints.
+    /// Requests a heartbeat without delay, as the routes or endpoints known here have changed.
     pub(crate) fn request_heartbeat(&mut self) {
-        self.has_news = true;
+        self.is_heartbeat_requested = true;
     }
 
-    /// Has peers told that an engine is about to hold other layers.
+    /// Announces that an engine is about to load other layers.
     pub(crate) fn announce_layer_move(&mut self, order: &PlacementOrder) {
-        self.moving.push((order.endpoint.clone(), order.layers));
-        self.has_news = true;
+        self.layer_moves
+            .push((order.endpoint.clone(), order.layers));
+        self.is_heartbeat_requested = true;
     }
 
-    /// Has peers told that this instance gives no more orders under this fencing number.
+    /// Announces that this instance issues no more orders under this fencing number.
     pub(crate) fn announce_lease_release(&mut self, service: &ServiceName, fence: u64) {
-        self.given_up.insert(service.clone(), fence);
-        self.has_news = true;
+        self.released_leases.insert(service.clone(), fence);
+        self.is_heartbeat_requested = true;
     }
 
-    /// Whether the holder of a lease gives no more orders under it: it says so, another process runs
-    /// in its place, or nothing has been heard of it for some heartbeats. The last may be wrong.
+    /// Whether the holder of a lease still issues orders under it. It has ended if it has released the lease
+    /// or another process runs in its place. If it is only silent, it is presumed to have ended, which may
+    /// be wrong.
     pub(crate) fn lease_holder_status(
         &self,
         service: &ServiceName,
         holder: &LeaseHolder,
         now_ms: u64,
     ) -> HolderStatus {
-        let given_up = self.given_up_by_peers.get(service);
-        if given_up.is_some_and(|fence| *fence >= holder.fence) {
+        let released_leases = self.peer_released_leases.get(service);
+        if released_leases.is_some_and(|fence| *fence >= holder.fence) {
             return HolderStatus::Ended;
         }
         let peer = self.peers.get(&holder.instance);
@@ -399,13 +410,13 @@
             return HolderStatus::Ended;
         }
         let heard_ms = heard_ms.unwrap_or(0).max(self.listening_since_ms);
-        if now_ms >= heard_ms + HOLDER_SILENT_MS && !holder.has_renewed {
+        if now_ms >= heard_ms + HOLDER_TIMEOUT_MS && !holder.has_renewed {
             return HolderStatus::PresumedEnded;
         }
         HolderStatus::Active
     }
 
-    /// Takes a peer's heartbeat. Returns how loads have changed by it.
+    /// Updates a peer from its heartbeat. Returns the resulting changes of loads.
     pub(super) fn apply_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -416,14 +427,17 @@
         if (&heartbeat.instance, &heartbeat.incarnation) == own {
             return Vec::new();
         }
-        let mut peer = Peer::heard(heartbeat, address, now_ms);
-        for (service, fence) in &heartbeat.given_up {
-            let highest = self.given_up_by_peers.entry(service.clone()).or_insert(0);
+        let mut peer = Peer::from_heartbeat(heartbeat, address, now_ms);
+        for (service, fence) in &heartbeat.released_leases {
+            let highest = self
+                .peer_released_leases
+                .entry(service.clone())
+                .or_insert(0);
             *highest = (*highest).max(*fence);
         }
         let known = self.peers.get(&heartbeat.instance);
         if known.is_none_or(|it| it.incarnation != peer.incarnation || it.heard_ms.is_none()) {
-            log::info!(peer = heartbeat.instance.as_str(), address:% = address; "peer is heard");
+            log::info!(peer = heartbeat.instance.as_str(), address:% = address; "first heartbeat from peer");
         }
         if let Some(known) = known.filter(|it| it.incarnation == peer.incarnation) {
             peer.newest_sent_ms = peer.newest_sent_ms.max(known.newest_sent_ms);
@@ -433,13 +447,13 @@
         load_changes(before.unwrap_or_default(), &heartbeat.held)
     }
 
-    /// What peers' streams take up at each engine. Changes that [`Self::apply_heartbeat`] returns from now
-    /// on are changes of these sums.
-    pub(super) fn held_by_peers(&mut self, now_ms: u64) -> IndexMap<EndpointId, EngineLoad> {
+    /// Total load of the heard peers' streams on each engine. Changes that [`Self::apply_heartbeat`] returns
+    /// later are relative to these sums.
+    pub(super) fn peer_loads(&mut self, now_ms: u64) -> IndexMap<EndpointId, EngineLoad> {
         let mut sums = IndexMap::new();
         for peer in self.peers.values_mut() {
-            let silent_ms = peer.silent_after_ms(&self.own_zone);
-            peer.is_counted = peer.is_heard(silent_ms, now_ms);
+            let timeout_ms = peer.timeout_ms(&self.own_zone);
+            peer.is_counted = peer.is_heard(timeout_ms, now_ms);
             if !peer.is_counted {
                 continue;
             }
@@ -451,12 +465,12 @@
         sums
     }
 
-    /// Whether something must be told at once; asks once for each piece of news.
+    /// Whether a heartbeat was requested since the last call.
     pub(super) fn take_heartbeat_request(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.is_heartbeat_requested)
     }
 
-    /// The next heartbeat for the own zone; news of endpoints are told a few times and then dropped.
+    /// The next heartbeat for the own zone. Takes the updates it contains from their queues.
     pub(super) fn heartbeat(&mut self, own: &OwnState, now_ms: u64) -> Heartbeat {
         let held = own.held.iter();
         Heartbeat {
@@ -465,7 +479,7 @@
             zone: self.own_zone.clone(),
             front: self.own_front,
             link_mbps: self.own_link_mbps,
-            turn_ms: self.turn_ms(own.availability, now_ms),
+            cross_zone_interval_ms: self.cross_zone_interval_ms(own.availability, now_ms),
             availability: own.availability,
             table: own.table,
             table_age_ms: own.table_age_ms,
@@ -473,17 +487,17 @@
             list_age_ms: own.list_age_ms,
             store_age_ms: own.store_age_ms,
             sent_ms: now_ms,
-            unhealthy: self.unhealthy.next_batch(MOST_NEWS),
-            leaving: self.leaving.next_batch(MOST_NEWS),
-            said_leaving: self.said_leaving.next_batch(MOST_NEWS),
-            moving: self
-                .moving
-                .drain(..self.moving.len().min(MOST_NEWS))
+            unhealthy: self.unhealthy.next_batch(MAX_UPDATES),
+            leaving: self.leaving.next_batch(MAX_UPDATES),
+            self_reported_leaving: self.self_reported_leaving.next_batch(MAX_UPDATES),
+            layer_moves: self
+                .layer_moves
+                .drain(..self.layer_moves.len().min(MAX_UPDATES))
                 .collect(),
             held: held
                 .map(|load| (load.endpoint.clone(), load.load))
                 .collect(),
-            given_up: self.given_up.clone().into_iter().collect(),
+            released_leases: self.released_leases.clone().into_iter().collect(),
             known_instances: self.own_known_instances(),
             retry_needs: own.retry_needs.clone(),
             evidence: own.evidence.clone(),
@@ -491,24 +505,24 @@
         }
     }
 
-    /// When the newest heartbeat of this process that a peer has heard was sent. One of an earlier
-    /// process of this instance does not count: its clock may have been another.
+    /// When the heartbeat that a peer acknowledges was sent, if this process sent it. An earlier process of
+    /// this instance may have used a different clock.
     pub(super) fn acknowledged_sent_ms(&self, echo: Option<Echo>) -> Option<u64> {
         let own = echo.filter(|it| it.incarnation == self.own_incarnation);
         own.map(|it| it.sent_ms)
     }
 
-    /// Forgets peers that have long been silent.
+    /// Removes peers that have been silent for a long time.
     pub(super) fn remove_expired(&mut self, now_ms: u64) {
         self.peers
-            .retain(|_, peer| now_ms < peer.last_sign_ms() + FORGET_MS);
+            .retain(|_, peer| now_ms < peer.last_seen_ms() + PEER_TTL_MS);
     }
 
     fn is_heard(&self, peer: &Peer, now_ms: u64) -> bool {
-        peer.is_heard(self.silent_after_ms(peer), now_ms)
+        peer.is_heard(self.timeout_ms(peer), now_ms)
     }
 
-    fn silent_after_ms(&self, peer: &Peer) -> u64 {
-        peer.silent_after_ms(&self.own_zone)
+    fn timeout_ms(&self, peer: &Peer) -> u64 {
+        peer.timeout_ms(&self.own_zone)
     }
 }
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -34,8 +34,8 @@
     reaches_store: false,
     receives_store_updates: false,
 };
-/// Ready, and told by another of its zone what the store has.
-const TOLD: Availability = Availability {
+/// Ready, and another instance of its zone forwards the store's contents to it.
+const NON_READER: Availability = Availability {
     is_ready: true,
     is_open: true,
     reaches_store: false,
@@ -86,8 +86,8 @@
     }
 }
 
-/// The book of `a`, which has heard `b` and `c` at these times.
-fn heard(b: (Availability, u64), c: (Availability, u64)) -> PeerBook {
+/// The peer book of `a`, which has heard `b` and `c` at these times.
+fn book_of_a(b: (Availability, u64), c: (Availability, u64)) -> PeerBook {
     let mut a = book("a", "lac", 1_000);
     let others = [("b", "lac", 2_000, b), ("c", "marsa", 3_000, c)];
     for (name, zone, port, (availability, at_ms)) in others {
@@ -103,32 +103,32 @@
 }
 
 #[test]
-fn callers_are_sent_to_instances_of_their_zone_if_they_are_enough() {
-    let a = heard((READY, 500), (READY, 500));
+fn callers_get_addresses_in_their_zone_if_there_are_enough() {
+    let a = book_of_a((READY, 500), (READY, 500));
     assert_eq!(ports(&a, READY, 600), [1_000, 2_000]);
     assert_eq!(
         ports(&a, OPEN, 600),
         [2_000, 3_000],
-        "one in the zone is not enough"
+        "one in the zone is too few"
     );
 }
 
 #[test]
-fn silent_instances_are_not_named() {
-    let a = heard((READY, 100), (READY, 900));
+fn callers_are_not_sent_to_silent_instances() {
+    let a = book_of_a((READY, 100), (READY, 900));
     assert_eq!(ports(&a, READY, 1_000), [1_000, 3_000]);
 }
 
 #[test]
-fn instances_that_may_refuse_are_named_if_there_are_no_others() {
-    let a = heard((OPEN, 500), (OPEN, 500));
+fn callers_are_sent_to_open_instances_if_none_is_ready() {
+    let a = book_of_a((OPEN, 500), (OPEN, 500));
     assert_eq!(ports(&a, OPEN, 600), [1_000, 2_000]);
     assert_eq!(ports(&a, READY, 600), [1_000]);
 }
 
 #[test]
-fn the_first_ready_instance_by_name_has_the_duty() {
-    let a = heard((READY, 500), (READY, 500));
+fn the_first_ready_instance_by_name_is_the_preferred_leader() {
+    let a = book_of_a((READY, 500), (READY, 500));
     assert!(a.is_preferred_leader(600));
     let mut b = book("b", "lac", 2_000);
     b.apply_heartbeat(
@@ -137,11 +137,11 @@
         500,
     );
     assert!(!b.is_preferred_leader(600));
-    assert!(b.is_preferred_leader(2_000), "the other has fallen silent");
+    assert!(b.is_preferred_leader(2_000), "the other has timed out");
 }
 
 #[test]
-fn a_heartbeat_names_what_was_heard_of_this_process_only() {
+fn an_echo_is_only_accepted_by_the_process_that_sent_the_heartbeat() {
     let mut a = book("a", "lac", 1_000);
     let mut b = book("b", "lac", 2_000);
     b.apply_heartbeat(&heartbeat(&mut a, READY, 400), address(1_001), 450);
@@ -151,21 +151,21 @@
     let restarted = book("a", "lac", 1_000);
     assert_eq!(restarted.acknowledged_sent_ms(echo), None);
     let late = b.recipients(READY, 1_300);
-    assert_eq!(late[0].echo, None, "the other has fallen silent");
+    assert_eq!(late[0].echo, None, "the other has timed out");
 }
 
 #[test]
-fn news_are_told_a_few_times() {
+fn an_update_is_sent_four_times() {
     let mut a = book("a", "lac", 1_000);
     a.announce_leaving(&EndpointId::from("e"));
     assert!(a.take_heartbeat_request());
     assert!(!a.take_heartbeat_request());
-    let told = (0..10).filter(|_| !heartbeat(&mut a, READY, 0).leaving.is_empty());
-    assert_eq!(told.count(), 4);
+    let sent = (0..10).filter(|_| !heartbeat(&mut a, READY, 0).leaving.is_empty());
+    assert_eq!(sent.count(), 4);
 }
 
 #[test]
-fn every_instance_on_record_shares_the_budget() {
+fn every_instance_with_a_record_shares_the_budget() {
     let mut a = book("a", "lac", 1_000);
     assert_eq!(a.known_instances(), 1);
     a.add_record(record("d", "marsa", 4_000), 0);
@@ -207,47 +207,49 @@
         limits: Vec::new(),
     };
     let beat = a.heartbeat(&own, 500_100);
-    let text = serde_json::to_vec(&beat).expect("it is text").len();
-    let shared = heartbeat_bytes(&beat).expect("it is binary");
+    let json = serde_json::to_vec(&beat).expect("it can be encoded").len();
+    let shared = heartbeat_bytes(&beat).expect("it can be encoded");
     let echo = a.recipients(READY, 500_100)[0].echo;
     assert!(echo.is_some());
     let answer = PeerPart {
         echo,
         ..PeerPart::default()
     };
-    let binary = datagram(&shared, &answer).expect("it is binary");
-    assert!(binary.len() * 2 < text, "{} of {text} bytes", binary.len());
-    let (read, read_answer) = read_datagram(&binary).expect("it was written so");
+    let binary = datagram(&shared, &answer).expect("it can be encoded");
+    assert!(binary.len() * 2 < json, "{} of {json} bytes", binary.len());
+    // An absolute bound as well, since the JSON grows with the length of field names.
+    assert!(binary.len() <= 614, "{} bytes", binary.len());
+    let (read, read_answer) = read_datagram(&binary).expect("it can be decoded");
     assert_eq!(read.held, beat.held);
     assert_eq!(read_answer, answer);
-    println!("heartbeat: {} bytes, {text} as text", binary.len());
+    println!("heartbeat: {} bytes, {json} as JSON", binary.len());
 }
 
 #[test]
-fn an_instance_that_the_store_does_not_answer_gives_no_orders() {
-    let heard_at = |availability| heard((availability, 500), (READY, 500));
+fn an_instance_that_the_store_does_not_answer_is_not_preferred_as_leader() {
+    let heard_at = |availability| book_of_a((availability, 500), (READY, 500));
     let mut b = book("b", "lac", 2_000);
     let own = heartbeat(&mut book("a", "lac", 1_000), CUT_OFF, 500);
     b.apply_heartbeat(&own, address(1_001), 500);
     assert!(
         b.is_preferred_leader(600),
-        "the one before it cannot take the lease"
+        "`a` ranks ahead, but cannot take the lease"
     );
     assert!(heard_at(READY).is_preferred_leader(600));
 }
 
 #[test]
 fn callers_are_sent_to_instances_that_the_store_answers() {
-    let a = heard((READY, 500), (CUT_OFF, 500));
+    let a = book_of_a((READY, 500), (CUT_OFF, 500));
     let zone = ZoneName::from("marsa");
     assert_eq!(a.addresses_for(&zone, CUT_OFF, 600), [address(2_000)]);
-    let a = heard((CUT_OFF, 500), (OPEN, 500));
+    let a = book_of_a((CUT_OFF, 500), (OPEN, 500));
     let all = [address(1_000), address(2_000)];
     assert_eq!(a.addresses_for(&zone, CUT_OFF, 600), all);
 }
 
 #[test]
-fn the_end_of_a_leases_holder_is_told_or_seen() {
+fn a_lease_holder_ends_by_release_restart_or_silence() {
     let service = ServiceName::from("menu-mind");
     let mut b = book("b", "lac", 2_000);
     let beat = heartbeat(&mut b, READY, 500);
@@ -295,7 +297,7 @@
 }
 
 #[test]
-fn an_old_record_of_the_holders_instance_says_nothing_of_its_end() {
+fn an_old_record_does_not_end_the_lease_holder() {
     let mut a = book("a", "lac", 1_000);
     a.add_record(record("b", "lac", 2_000), 0);
     a.remove_expired(250);
@@ -313,14 +315,14 @@
 }
 
 #[test]
-fn peers_that_the_store_answers_are_asked_first() {
-    let a = heard((CUT_OFF, 500), (OPEN, 500));
+fn peers_that_the_store_answers_are_preferred_as_sync_sources() {
+    let a = book_of_a((CUT_OFF, 500), (OPEN, 500));
     let order: Vec<SocketAddr> = a.sync_sources(600).iter().map(|it| it.address).collect();
     assert_eq!(order, [address(3_001), address(2_001)]);
-    assert!(a.sync_sources(5_000).is_empty(), "they have fallen silent");
+    assert!(a.sync_sources(5_000).is_empty(), "they have timed out");
 }
 
-/// A book of `front-0-0` in a fleet of this many instances, spread over five zones, all of them heard.
+/// The peer book of `front-0-0` in a fleet of this many instances in five zones, all of which were heard.
 fn large_fleet(instances: u16, now_ms: u64) -> PeerBook {
     let name = |number: u16| format!("front-{}-{}", number % 5, number / 5);
     let zone = |number: u16| format!("zone-{}", number % 5);
@@ -329,17 +331,17 @@
         let port = 2_000 + 2 * number;
         let mut other = book(&name(number), &zone(number), port);
         let mut beat = heartbeat(&mut other, READY, now_ms);
-        // The first of each zone tell everybody within two periods.
-        beat.turn_ms = if number < 15 { 500 } else { 5_000 };
+        // The top-ranked instances of each zone reach all others within two heartbeats.
+        beat.cross_zone_interval_ms = if number < 15 { 500 } else { 5_000 };
         own.apply_heartbeat(&beat, address(port + 1), now_ms);
     }
     own
 }
 
 #[test]
-fn the_zone_is_told_each_time_and_others_in_turn() {
+fn a_heartbeat_reaches_the_whole_zone_and_other_zones_in_rotation() {
     let mut book = large_fleet(195, 500);
-    // Three others with faster links come first.
+    // Three instances with faster links rank ahead.
     for number in 0..3 {
         let mut other = self::book(&format!("fast-{number}"), "zone-0", 900 + 2 * number);
         let mut beat = heartbeat(&mut other, READY, 500);
@@ -347,111 +349,114 @@
         book.apply_heartbeat(&beat, address(901 + 2 * number), 500);
     }
     assert!(!book.is_top_ranked_in_zone(600));
-    assert_eq!(heartbeat(&mut book, TOLD, 600).turn_ms, 5_000);
-    let turn_ms = heartbeat(&mut book, READY, 600).turn_ms;
-    assert_eq!(turn_ms, 500, "the store answers it");
-    let mut told = IndexMap::new();
+    let beat = heartbeat(&mut book, NON_READER, 600);
+    assert_eq!(beat.cross_zone_interval_ms, 5_000);
+    let beat = heartbeat(&mut book, READY, 600);
+    assert_eq!(beat.cross_zone_interval_ms, 500, "the store answers it");
+    let mut times_reached = IndexMap::new();
     for _ in 0..20 {
-        let recipients = book.recipients(TOLD, 600);
-        let near = |it: &&Recipient| it.zone == ZoneName::from("zone-0");
-        assert_eq!(recipients.iter().filter(near).count(), 41);
+        let recipients = book.recipients(NON_READER, 600);
+        let in_zone = |it: &&Recipient| it.zone == ZoneName::from("zone-0");
+        assert_eq!(recipients.iter().filter(in_zone).count(), 41);
         assert_eq!(recipients.len(), 41 + 8);
-        for recipient in recipients.iter().filter(|it| !near(it)) {
-            *told.entry(recipient.address).or_insert(0) += 1;
+        for recipient in recipients.iter().filter(|it| !in_zone(it)) {
+            *times_reached.entry(recipient.address).or_insert(0) += 1;
         }
     }
-    assert_eq!(told.len(), 156, "five seconds reach everybody");
-    assert!(told.values().all(|times| *times <= 2));
+    assert_eq!(times_reached.len(), 156, "all within five seconds");
+    assert!(times_reached.values().all(|times| *times <= 2));
 }
 
 #[test]
-fn the_one_that_gives_the_orders_tells_everybody_each_time() {
+fn each_heartbeat_of_the_preferred_leader_reaches_every_instance() {
     let mut book = large_fleet(195, 500);
     assert!(
         book.is_preferred_leader(600),
-        "its link is no slower and its name is the first"
+        "its link is not slower than others and its name sorts first"
     );
     assert_eq!(book.recipients(READY, 600).len(), 194);
-    assert_eq!(heartbeat(&mut book, READY, 600).turn_ms, 250);
+    let beat = heartbeat(&mut book, READY, 600);
+    assert_eq!(beat.cross_zone_interval_ms, 250);
     assert_eq!(
-        book.recipients(TOLD, 600).len(),
+        book.recipients(NON_READER, 600).len(),
         38 + 78,
-        "one of the first"
+        "top-ranked in its zone"
     );
     let mut small = large_fleet(9, 500);
     let beat = heartbeat(&mut self::book("a", "zone-0", 100), READY, 500);
     small.apply_heartbeat(&beat, address(101), 500);
     assert_eq!(
-        small.recipients(TOLD, 600).len(),
+        small.recipients(NON_READER, 600).len(),
         9,
-        "few are told each time"
+        "a small fleet gets every heartbeat"
     );
 }
 
 #[test]
-fn one_in_another_zone_that_is_told_in_turn_is_not_silent_between_its_turns() {
+fn the_timeout_of_a_peer_in_another_zone_follows_its_heartbeat_interval() {
     let mut book = large_fleet(195, 500);
     let mut rare = self::book("rare", "zone-1", 900);
     let mut beat = heartbeat(&mut rare, READY, 500);
-    beat.turn_ms = 5_000;
+    beat.cross_zone_interval_ms = 5_000;
     book.apply_heartbeat(&beat, address(901), 500);
-    let named = |book: &PeerBook, now_ms| {
+    let returned = |book: &PeerBook, now_ms| {
         let zone = ZoneName::from("zone-1");
         let addresses = book.addresses_for(&zone, READY, now_ms);
         addresses.iter().filter(|it| **it != address(1_000)).count()
     };
     assert_eq!(
-        named(&book, 1_900),
+        returned(&book, 1_900),
         8,
-        "only those that tell often are silent"
+        "only peers with a short interval have timed out"
     );
-    assert_eq!(named(&book, 10_900), 0);
+    assert_eq!(returned(&book, 10_900), 0);
 }
 
-/// Bytes that go from one zone to others in a second, over all instances of a fleet: what a link
-/// between zones carries. With everybody telling everybody all that it knew, 195 instances sent 400 MB.
+/// Guards against heartbeats filling the links between zones: when each carried everything to everyone, 195
+/// instances sent 400 MB per second. Counts the bytes per second from one zone to the others.
 #[test]
-fn little_goes_between_zones() {
-    for (instances, most_bytes) in [(20_u16, 110_000), (195, 1_600_000)] {
-        let mut speaker = large_fleet(instances, 500);
+fn heartbeats_between_zones_use_little_bandwidth() {
+    for (instances, max_bytes) in [(20_u16, 110_000), (195, 1_600_000)] {
+        let mut leader = large_fleet(instances, 500);
         let bytes_of = |book: &mut PeerBook| -> usize {
             let beat = heartbeat(book, READY, 600);
-            let shared = heartbeat_bytes(&beat).expect("it can be written");
+            let shared = heartbeat_bytes(&beat).expect("it can be encoded");
             let own_zone = beat.zone;
             let recipients = book.recipients(READY, 600);
-            let far = recipients.iter().filter(|it| it.zone != own_zone);
-            let answer = |it: &Recipient| PeerPart {
+            let elsewhere = recipients.iter().filter(|it| it.zone != own_zone);
+            let peer_part = |it: &Recipient| PeerPart {
                 echo: it.echo,
                 ..PeerPart::default()
             };
-            far.map(|it| {
-                datagram(&shared, &answer(it))
-                    .expect("it can be written")
-                    .len()
-            })
-            .sum()
+            elsewhere
+                .map(|it| {
+                    datagram(&shared, &peer_part(it))
+                        .expect("it can be encoded")
+                        .len()
+                })
+                .sum()
         };
-        let to_all = bytes_of(&mut speaker);
-        let far = usize::from(instances) * 4 / 5;
-        let by_first = to_all / 2;
-        let by_other = to_all * far.min(8) / far;
-        let total = 4 * (to_all + 14 * by_first + (usize::from(instances) - 15) * by_other);
-        println!("{instances} instances: {total} bytes a second between zones");
-        assert!(total < most_bytes, "{total} bytes");
+        let by_leader = bytes_of(&mut leader);
+        let elsewhere = usize::from(instances) * 4 / 5;
+        let by_top_ranked = by_leader / 2;
+        let by_other = by_leader * elsewhere.min(8) / elsewhere;
+        let total = 4 * (by_leader + 14 * by_top_ranked + (usize::from(instances) - 15) * by_other);
+        println!("{instances} instances: {total} bytes per second between zones");
+        assert!(total < max_bytes, "{total} bytes");
     }
 }
 
 #[test]
-fn callers_are_sent_to_instances_that_are_told_what_the_store_has() {
-    let a = heard((TOLD, 500), (READY, 500));
-    assert_eq!(ports(&a, TOLD, 600), [1_000, 2_000]);
-    let a = heard((CUT_OFF, 500), (TOLD, 500));
+fn callers_are_sent_to_instances_that_receive_store_updates() {
+    let a = book_of_a((NON_READER, 500), (READY, 500));
+    assert_eq!(ports(&a, NON_READER, 600), [1_000, 2_000]);
+    let a = book_of_a((CUT_OFF, 500), (NON_READER, 500));
     assert_eq!(ports(&a, CUT_OFF, 600), [3_000]);
-    assert!(!TOLD.may_lead());
+    assert!(!NON_READER.may_lead());
 }
 
 #[test]
-fn the_first_of_a_zone_read_the_store_and_the_others_are_told() {
+fn the_top_ranked_instances_of_a_zone_read_the_store() {
     let book = large_fleet(195, 500);
     let view = book.store_reader_view(false, None, 600);
     assert_eq!((view.rank, view.answered_ahead), (0, 0));
@@ -460,7 +465,7 @@
     for number in 0..38 {
         let port = 2_000 + 2 * number;
         let mut other = self::book(&format!("f{number:02}"), "zone-0", port);
-        let availability = if number < 3 { READY } else { TOLD };
+        let availability = if number < 3 { READY } else { NON_READER };
         last.apply_heartbeat(
             &heartbeat(&mut other, availability, 500),
             address(port + 1),
@@ -476,7 +481,7 @@
 }
 
 #[test]
-fn an_unheard_instance_on_record_comes_before_while_it_may_be_starting() {
+fn an_unheard_instance_with_a_record_is_ranked_while_it_may_be_starting() {
     let mut b = book("b", "lac", 1_000);
     b.add_record(record("a", "lac", 2_000), 0);
     b.add_record(record("c", "lac", 3_000), 0);
@@ -486,14 +491,14 @@
 }
 
 proptest! {
-    /// Loads that are kept up by each heartbeat's changes are those that are summed anew.
+    /// Applying the load changes of each heartbeat gives the same loads as summing over all peers.
     #[test]
-    fn changes_of_loads_add_up_to_the_sums(
-        told in prop::collection::vec((0..3_u8, prop::collection::vec((0..4_u8, 0..1_000_u64), 0..4)), 1..12),
+    fn load_changes_add_up_to_the_sums(
+        heartbeats in prop::collection::vec((0..3_u8, prop::collection::vec((0..4_u8, 0..1_000_u64), 0..4)), 1..12),
     ) {
         let mut book = book("a", "lac", 10);
         let mut kept: IndexMap<EndpointId, EngineLoad> = IndexMap::new();
-        for (sender, held) in told {
+        for (sender, held) in heartbeats {
             let port = 100 + 2 * u16::from(sender);
             let mut beat = heartbeat(&mut self::book(&format!("b{sender}"), "lac", port), READY, 100);
             let held: IndexMap<EndpointId, EngineLoad> = held
@@ -507,15 +512,15 @@
             }
         }
         kept.retain(|_, load| *load != EngineLoad::default());
-        let mut sums = book.held_by_peers(200);
+        let mut sums = book.peer_loads(200);
         sums.retain(|_, load| *load != EngineLoad::default());
         kept.sort_unstable_keys();
         sums.sort_unstable_keys();
         prop_assert_eq!(kept, sums);
-        prop_assert!(book.held_by_peers(2_000).is_empty(), "they have fallen silent");
+        prop_assert!(book.peer_loads(2_000).is_empty(), "they have timed out");
     }
 
-    /// Whatever a datagram holds, taking it ends: it is malformed, or its figures are of any size.
+    /// Any datagram is either rejected as malformed or applied, however large its numbers are.
     #[test]
     fn no_datagram_crashes_its_reader(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 0..6),
@@ -526,14 +531,14 @@
         sender.announce_lease_release(&ServiceName::from("model"), 7);
         let mut sent = heartbeat(&mut sender, READY, 100);
         sent.held = vec![(EndpointId::from("e"), tokens(u64::MAX)), (EndpointId::from("f"), tokens(3))];
-        let shared = heartbeat_bytes(&sent).expect("it can be written");
-        let mut bytes = datagram(&shared, &PeerPart::default()).expect("it can be written");
-        for (place, byte) in changes {
-            let place = place.index(bytes.len());
-            bytes[place] = byte;
+        let shared = heartbeat_bytes(&sent).expect("it can be encoded");
+        let mut bytes = datagram(&shared, &PeerPart::default()).expect("it can be encoded");
+        for (index, byte) in changes {
+            let index = index.index(bytes.len());
+            bytes[index] = byte;
         }
         bytes.truncate(length.index(bytes.len() + 1).max(1));
-        let Ok((read, answer)) = read_datagram(&bytes) else {
+        let Ok((read, peer_part)) = read_datagram(&bytes) else {
             return Ok(());
         };
         let mut reader = book("a", "lac", 20);
@@ -546,9 +551,9 @@
             has_renewed: false,
         };
         reader.lease_holder_status(&ServiceName::from("model"), &holder, 2_000);
-        reader.held_by_peers(400);
+        reader.peer_loads(400);
         reader.sync_sources(400);
-        reader.acknowledged_sent_ms(answer.echo);
+        reader.acknowledged_sent_ms(peer_part.echo);
         reader.recipients(READY, 400);
         reader.addresses_for(&ZoneName::from("lac"), READY, 400);
         reader.remove_expired(500);
--- a/src/relay_server/peer_news_tests.rs
+++ b/src/relay_server/peer_news_tests.rs
@@ -1,5 +1,3 @@
-//! What a heartbeat tells of endpoints.
-
 use indexmap::IndexSet;
 
 use super::heartbeat::heartbeat_bytes;
@@ -8,9 +6,10 @@
 use crate::placement::PlacementOrder;
 use crate::wire::engine::LayerRange;
 
-// 2,970 orders were given at once, and the heartbeat that told of them was longer than what a peer reads.
+// Guards against heartbeats that peers cannot receive: 2,970 orders were issued at once, and the heartbeat that
+// announced them exceeded the receive buffer.
 #[test]
-fn news_of_thousands_of_engines_are_told_in_several_datagrams() {
+fn updates_of_thousands_of_engines_are_spread_over_several_heartbeats() {
     let mut sender = book("b", "lac", 10);
     let endpoint = |number: u32| EndpointId::from(format!("i-{number:010}"));
     let layers = LayerRange { first: 0, end: 12 };
@@ -22,16 +21,16 @@
         sender.announce_unhealthy(&endpoint(number));
         sender.announce_leaving(&endpoint(number));
     }
-    let mut told = [IndexSet::new(), IndexSet::new(), IndexSet::new()];
-    for period in 0..12 {
-        let sent = heartbeat(&mut sender, READY, period * 250);
-        let shared = heartbeat_bytes(&sent).expect("it can be written");
+    let mut announced = [IndexSet::new(), IndexSet::new(), IndexSet::new()];
+    for beat in 0..12 {
+        let sent = heartbeat(&mut sender, READY, beat * 250);
+        let shared = heartbeat_bytes(&sent).expect("it can be encoded");
         assert!(shared.len() < 32 << 10, "{}", shared.len());
-        told[0].extend(sent.moving.into_iter().map(|(id, _)| id));
-        told[1].extend(sent.unhealthy);
-        told[2].extend(sent.leaving);
+        announced[0].extend(sent.layer_moves.into_iter().map(|(id, _)| id));
+        announced[1].extend(sent.unhealthy);
+        announced[2].extend(sent.leaving);
     }
-    for told in told {
-        assert_eq!(told.len(), 3_000);
+    for ids in announced {
+        assert_eq!(ids.len(), 3_000);
     }
 }
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -1,9 +1,9 @@
-//! What instances tell one another by datagram: that they live, what they hold, which endpoints
-//! are unsound or leaving. A lost datagram is made good by the next.
+//! Exchange of heartbeats among instances, by UDP: liveness, engine loads, and which endpoints are
+//! unhealthy or leaving. The next heartbeat makes up for a lost one.
 //!
-//! Heartbeats go to the own zone four times a second, to other zones more rarely the more instances
-//! there are. All instances of a deployment must run the same release; one that does not understand a
-//! datagram says so in its log and goes on alone.
+//! Heartbeats are sent to the own zone four times per second, and to other zones less often the more
+//! instances there are. All instances of a deployment must run the same release; one that cannot decode a
+//! datagram logs a warning and continues without it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,8 +19,8 @@
 };
 use super::node::Node;
 use super::peer::Recipient;
-use super::peer_book::{FarLoads, HEARTBEAT_INTERVAL_MS};
-use super::retry_loans::wants;
+use super::peer_book::{CrossZoneLoads, HEARTBEAT_INTERVAL_MS};
+use super::retry_loans::loan_requests;
 use super::withholding::SOURCE_PEERS;
 use super::{list_sync, room_notice};
 use crate::clock::boot_ms;
@@ -28,45 +28,45 @@
 use crate::ids::ZoneName;
 use crate::placement::PlacementOrder;
 
-/// Longest datagram that arrives in one piece on any usual link is about 1,400 bytes; longer ones
-/// are split by the network and still arrive.
-const DATAGRAM_LIMIT_BYTES: usize = 32 << 10;
+/// Size of the receive buffer. Datagrams of more than about 1,400 bytes are fragmented on usual links, but
+/// still arrive.
+const MAX_DATAGRAM_BYTES: usize = 32 << 10;
 
-/// Sends heartbeats and takes those of peers, for as long as the process runs.
+/// Sends heartbeats and receives those of peers, for as long as the process runs.
 pub(crate) async fn exchange<A>(node: Rc<Node<A>>, socket: Rc<UdpSocket>)
 where
     A: Adapter,
 {
-    let mut buffer = vec![0; DATAGRAM_LIMIT_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut ticks = tokio::time::interval(Duration::from_millis(HEARTBEAT_INTERVAL_MS));
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Skip);
-    let mut news = node.chain_check_signal.subscribe();
+    let mut chain_checks = node.chain_check_signal.subscribe();
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 node.update_store_reading(boot_ms());
                 send(&node, &socket).await;
             }
-            _ = news.changed() => send_news(&node, &socket).await,
-            () = node.heartbeat_due.notified() => send_news(&node, &socket).await,
+            _ = chain_checks.changed() => send_if_requested(&node, &socket).await,
+            () = node.heartbeat_due.notified() => send_if_requested(&node, &socket).await,
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) if room_notice::is_notice(&buffer[..length]) => {
-                    room_notice::take(&node, &buffer[..length], from);
+                    room_notice::receive(&node, &buffer[..length], from);
                 }
-                Ok((length, from)) => take(&node, &buffer[..length], from),
-                // An earlier datagram met no listener; nothing is lost but that datagram.
-                Err(error) => log::debug!(error:% = error; "datagram was not received"),
+                Ok((length, from)) => receive(&node, &buffer[..length], from),
+                // The system reports here that an earlier datagram found no listener; only that one is lost.
+                Err(error) => log::debug!(error:% = error; "datagram could not be received"),
             },
         }
     }
 }
 
-async fn send_news<A>(node: &Rc<Node<A>>, socket: &UdpSocket)
+async fn send_if_requested<A>(node: &Rc<Node<A>>, socket: &UdpSocket)
 where
     A: Adapter,
 {
-    let has_news = node.peers.borrow_mut().take_heartbeat_request();
-    if has_news {
+    let is_requested = node.peers.borrow_mut().take_heartbeat_request();
+    if is_requested {
         send(node, socket).await;
     }
 }
@@ -77,26 +77,31 @@
 {
     let now_ms = boot_ms();
     let own = own_state(node, now_ms);
-    let (heartbeat, recipients, loads, wants) = {
+    let (heartbeat, recipients, loads, requests) = {
         let mut peers = node.peers.borrow_mut();
         let heartbeat = peers.heartbeat(&own, now_ms);
         peers.remove_expired(now_ms);
-        let loads = peers.held_by_peers(now_ms);
+        let loads = peers.peer_loads(now_ms);
         let recipients = peers.recipients(own.availability, now_ms);
-        (heartbeat, recipients, loads, wants(&mut peers, now_ms))
+        (
+            heartbeat,
+            recipients,
+            loads,
+            loan_requests(&mut peers, now_ms),
+        )
     };
-    let far_loads = node.peers.borrow().far_loads();
-    let mut peer_parts = node.answer_needs(wants, now_ms);
+    let cross_zone_loads = node.peers.borrow().cross_zone_loads();
+    let mut peer_parts = node.answer_loan_requests(requests, now_ms);
     node.fleet.borrow_mut().set_peers_load(&loads);
     node.update_limit_shares(now_ms);
     let mut shared: IndexMap<&ZoneName, Vec<u8>> = IndexMap::new();
     for recipient in &recipients {
         if !shared.contains_key(&recipient.zone) {
-            let told = told_to_zone(&heartbeat, &own, &recipient.zone, far_loads);
-            match heartbeat_bytes(&told) {
+            let for_zone = heartbeat_for_zone(&heartbeat, &own, &recipient.zone, cross_zone_loads);
+            match heartbeat_bytes(&for_zone) {
                 Ok(bytes) => drop(shared.insert(&recipient.zone, bytes)),
                 Err(error) => {
-                    log::error!(error:% = error; "heartbeat cannot be written");
+                    log::error!(error:% = error; "heartbeat could not be encoded");
                     return;
                 }
             }
@@ -130,20 +135,20 @@
     let bytes = match datagram(heartbeat_bytes, peer_part) {
         Ok(bytes) => bytes,
         Err(error) => {
-            log::error!(error:% = error; "datagram cannot be written");
+            log::error!(error:% = error; "datagram could not be encoded");
             return;
         }
     };
-    let is_near = recipient.zone == node.settings.zone;
-    let counter = if is_near {
+    let is_same_zone = recipient.zone == node.settings.zone;
+    let counter = if is_same_zone {
         "relay.heartbeats.bytes_in_zone"
     } else {
         "relay.heartbeats.bytes_between_zones"
     };
     node.counters.add(counter, bytes.len() as u64);
-    // A datagram that cannot be sent is like a lost one.
+    // Treated like a datagram that the network loses.
     if let Err(error) = socket.send_to(&bytes, recipient.address).await {
-        log::debug!(peer:% = recipient.address, error:% = error; "heartbeat was not sent");
+        log::debug!(peer:% = recipient.address, error:% = error; "heartbeat could not be sent");
     }
 }
 
@@ -182,19 +187,20 @@
     }
 }
 
-/// What a zone is told. Another one than the sender's does not lend repeats: its heartbeats come too
-/// rarely for the loan to be there in time.
-fn told_to_zone(
+/// The heartbeat for recipients in `zone`. Other zones than the sender's get no retry needs: their heartbeats
+/// are too infrequent for a loan to arrive in time.
+fn heartbeat_for_zone(
     heartbeat: &Heartbeat,
     own: &OwnState,
     zone: &ZoneName,
-    far_loads: FarLoads,
+    cross_zone_loads: CrossZoneLoads,
 ) -> Heartbeat {
     if *zone == heartbeat.zone {
         return heartbeat.clone();
     }
-    let is_told = |load: &&HeldLoad| far_loads == FarLoads::AtAllEngines || load.zone == *zone;
-    let held = own.held.iter().filter(is_told);
+    let all_engines = cross_zone_loads == CrossZoneLoads::AllEngines;
+    let is_sent = |load: &&HeldLoad| all_engines || load.zone == *zone;
+    let held = own.held.iter().filter(is_sent);
     Heartbeat {
         held: held
             .map(|load| (load.endpoint.clone(), load.load))
@@ -204,10 +210,10 @@
     }
 }
 
-/// Takes a peer's word that what is known here is the newest. The peer's heartbeat was sent
-/// after it had heard the one of this instance that it names, so its knowledge's age then, taken
-/// off that sending time, is on the safe side however long both datagrams took.
-fn confirm<A>(node: &Node<A>, heartbeat: &Heartbeat, own_sent_ms: Option<u64>)
+/// Derives from a peer's heartbeat how recent the routes and endpoints known here are. The peer sent it after
+/// receiving the heartbeat of this instance that it echoes. Subtracting the ages in the peer's heartbeat
+/// from the sending time of the echoed one therefore gives a safe bound, however long both datagrams took.
+fn confirm_freshness<A>(node: &Node<A>, heartbeat: &Heartbeat, own_sent_ms: Option<u64>)
 where
     A: Adapter,
 {
@@ -230,7 +236,7 @@
     }
 }
 
-fn take<A>(node: &Rc<Node<A>>, bytes: &[u8], from: SocketAddr)
+fn receive<A>(node: &Rc<Node<A>>, bytes: &[u8], from: SocketAddr)
 where
     A: Adapter,
 {
@@ -248,12 +254,12 @@
         (is_newest, peers.apply_heartbeat(&heartbeat, from, now_ms))
     };
     let own_sent_ms = node.peers.borrow().acknowledged_sent_ms(peer_part.echo);
-    // A time that has not come yet is not of this process, whatever the peer says.
+    // A time in the future cannot come from this process, whatever the peer claims.
     let own_sent_ms = own_sent_ms.filter(|sent_ms| *sent_ms <= now_ms);
-    confirm(node, &heartbeat, own_sent_ms);
-    // One that came twice must not lend twice.
+    confirm_freshness(node, &heartbeat, own_sent_ms);
+    // A duplicated heartbeat must not lend twice.
     if let Some(asked_ms) = own_sent_ms.filter(|_| is_newest) {
-        node.take_loans(&heartbeat, &peer_part, asked_ms, now_ms);
+        node.apply_loans(&heartbeat, &peer_part, asked_ms, now_ms);
     }
     node.apply_evidence(&heartbeat.evidence, SOURCE_PEERS, now_ms);
     node.apply_limit_reports(&heartbeat.instance, &heartbeat.limits, now_ms);
@@ -269,20 +275,20 @@
                 endpoint = id.as_str(),
                 peer = heartbeat.instance.as_str(),
                 list = describe_list(&fleet, now_ms);
-                "endpoint is leaving, a peer says"
+                "peer reports that endpoint is leaving"
             );
         }
     }
-    for id in &heartbeat.said_leaving {
+    for id in &heartbeat.self_reported_leaving {
         if fleet.record_announced_leaving(id, now_ms) {
-            log::info!(endpoint = id.as_str(), peer = heartbeat.instance.as_str(); "endpoint says that it is leaving, a peer says");
+            log::info!(endpoint = id.as_str(), peer = heartbeat.instance.as_str(); "peer reports that endpoint has announced that it is leaving");
         }
     }
     for change in &changes {
         fleet.update_peers_load(&change.endpoint, change.before, change.now);
     }
     drop(fleet);
-    for (endpoint, layers) in heartbeat.moving {
+    for (endpoint, layers) in heartbeat.layer_moves {
         let order = PlacementOrder { endpoint, layers };
         node.record_peer_move(&order);
         node.peer_orders.borrow_mut().push(order);
--- a/src/relay_server/retry_loans.rs
+++ b/src/relay_server/retry_loans.rs
@@ -1,8 +1,9 @@
-//! Repeats that the instances of a zone lend one another, carried by their heartbeats.
+//! Lending of retries among the instances of a zone, by heartbeat.
 //!
-//! One that lacks repeats says so to its zone; the next heartbeat of each that can spare some brings
-//! its part. So a loan is there two heartbeats after the need, half a second at most. What ends unused goes back
-//! with the next heartbeat; if that is lost, it stays charged until no window can hold its use.
+//! An instance that lacks retries announces so to its zone, and the next heartbeat of each peer that can spare
+//! some carries a share. A loan thus arrives two heartbeats after the need, within 500 ms. Retries
+//! that remain unused are returned with the next heartbeat; if that heartbeat is lost, the lender counts
+//! them as used until no budget window can contain their use.
 
 use std::net::SocketAddr;
 
@@ -15,33 +16,33 @@
 use crate::ids::ServiceName;
 use crate::relay::{Lender, RetryAmount, RetryLoan, RetryPurpose, share_of_need};
 
-/// What a peer wants of this instance.
+/// Retries that a peer asks this instance for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Want {
-    /// Where the peer takes heartbeats.
+pub(super) struct LoanRequest {
+    /// Address of the peer.
     pub(super) address: SocketAddr,
     pub(super) amount: RetryAmount,
 }
 
-/// What peers want of this instance: of each need that was heard since the last heartbeat, an even
-/// part among those of the zone that do not lack the same. Each need is answered once.
-pub(super) fn wants(peers: &mut PeerBook, now_ms: u64) -> Vec<Want> {
-    let mut askers: IndexMap<(ServiceName, RetryPurpose), usize> = IndexMap::new();
+/// Collects what peers ask this instance for. Each need announced since the last heartbeat is split evenly
+/// among the instances of the zone without the same need, and is answered once.
+pub(super) fn loan_requests(peers: &mut PeerBook, now_ms: u64) -> Vec<LoanRequest> {
+    let mut borrowers: IndexMap<(ServiceName, RetryPurpose), usize> = IndexMap::new();
     let mut heard: usize = 0;
-    for peer in peers.near_heard(now_ms) {
+    for peer in peers.heard_in_own_zone(now_ms) {
         heard += 1;
         for need in &peer.retry_needs {
             let key = (need.service.clone(), need.purpose);
-            *askers.entry(key).or_default() += 1;
+            *borrowers.entry(key).or_default() += 1;
         }
     }
-    let mut wants = Vec::new();
-    for peer in peers.near_heard(now_ms) {
+    let mut requests = Vec::new();
+    for peer in peers.heard_in_own_zone(now_ms) {
         for need in std::mem::take(&mut peer.retry_needs) {
-            let same = askers[&(need.service.clone(), need.purpose)];
-            // A peer may name a need twice.
+            let same = borrowers[&(need.service.clone(), need.purpose)];
+            // Saturates because a peer may list the same need twice.
             let lenders = (1 + heard).saturating_sub(same);
-            wants.push(Want {
+            requests.push(LoanRequest {
                 address: peer.address,
                 amount: RetryAmount {
                     milli_retries: share_of_need(need.milli_retries, lenders),
@@ -50,14 +51,14 @@
             });
         }
     }
-    wants
+    requests
 }
 
 impl<A> Node<A>
 where
     A: Adapter,
 {
-    /// Repeats that this instance lacks.
+    /// Retries that this instance lacks.
     pub(super) fn retry_needs(&self, now_ms: u64) -> Vec<RetryAmount> {
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
@@ -67,16 +68,18 @@
         budget.needs(share, now_ms)
     }
 
-    /// Lends peers what this instance can spare, and gives back what it has not used, by the address of
-    /// the recipient.
-    pub(super) fn answer_needs(
+    /// Lends peers what this instance can spare and returns unused loans. The result is keyed by the
+    /// recipient's address.
+    pub(super) fn answer_loan_requests(
         &self,
-        wants: Vec<Want>,
+        requests: Vec<LoanRequest>,
         now_ms: u64,
     ) -> IndexMap<SocketAddr, PeerPart> {
         let mut answers: IndexMap<SocketAddr, PeerPart> = IndexMap::new();
-        let (addresses, amounts): (Vec<_>, Vec<_>) =
-            wants.into_iter().map(|it| (it.address, it.amount)).unzip();
+        let (addresses, amounts): (Vec<_>, Vec<_>) = requests
+            .into_iter()
+            .map(|it| (it.address, it.amount))
+            .unzip();
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
         let loans = budget.lend(&amounts, share, now_ms);
@@ -89,21 +92,22 @@
         let peers = self.peers.borrow();
         for (lender, unused) in budget.take_expired(now_ms) {
             if let Some(address) = peers.address_of(&lender) {
-                answers.entry(address).or_default().given_back.push(unused);
+                answers.entry(address).or_default().returned.push(unused);
             }
         }
         answers
     }
 
-    /// Takes in what a peer lends for needs that this instance told at `asked_ms`, and what it gives back.
-    pub(super) fn take_loans(
+    /// Records what a peer lends for the needs that this instance announced at `asked_ms`, and what it
+    /// returns.
+    pub(super) fn apply_loans(
         &self,
         heartbeat: &Heartbeat,
-        answer: &PeerPart,
+        peer_part: &PeerPart,
         asked_ms: u64,
         now_ms: u64,
     ) {
-        if answer.lent.is_empty() && answer.given_back.is_empty() {
+        if peer_part.lent.is_empty() && peer_part.returned.is_empty() {
             return;
         }
         let lender = Lender {
@@ -112,10 +116,10 @@
         };
         let share = self.budget_share();
         let mut budget = self.budget.borrow_mut();
-        budget.borrow(&answer.lent, &lender, share, asked_ms, now_ms);
-        budget.reclaim(&answer.given_back);
-        self.count_milli("relay.repeats.borrowed_milli", &answer.lent);
-        self.count_milli("relay.repeats.taken_back_milli", &answer.given_back);
+        budget.borrow(&peer_part.lent, &lender, share, asked_ms, now_ms);
+        budget.reclaim(&peer_part.returned);
+        self.count_milli("relay.repeats.borrowed_milli", &peer_part.lent);
+        self.count_milli("relay.repeats.taken_back_milli", &peer_part.returned);
     }
 
     fn count_milli(&self, name: &str, loans: &[RetryLoan]) {
--- a/src/relay_server/retry_loans_tests.rs
+++ b/src/relay_server/retry_loans_tests.rs
@@ -1,9 +1,7 @@
-//! Who is asked for how many repeats, and which loans count.
-
 use super::heartbeat::{Heartbeat, PeerPart, datagram, heartbeat_bytes, read_datagram};
 use super::peer_book::PeerBook;
 use super::peer_book_tests::{READY, address, book, heartbeat};
-use super::retry_loans::{Want, wants};
+use super::retry_loans::{LoanRequest, loan_requests};
 use crate::ids::ServiceName;
 use crate::relay::{Lender, RetryAmount, RetryLoan, RetryPurpose};
 
@@ -15,8 +13,9 @@
     }
 }
 
-/// The book of `a`, which has heard three of its zone and one of another; two lack repeats.
-fn asked() -> PeerBook {
+/// The peer book of `a`, which has heard three peers of its zone and one of another. Two of its zone and the
+/// other one lack retries.
+fn book_with_needs() -> PeerBook {
     let mut a = book("a", "lac", 1_000);
     let others = [
         ("b", "lac", 2_000, Some(9_000)),
@@ -33,32 +32,32 @@
 }
 
 #[test]
-fn a_need_is_dealt_out_among_those_of_the_zone_that_lack_nothing() {
-    let want = |port, milli_retries| Want {
+fn a_need_is_split_among_instances_of_the_zone_without_needs() {
+    let request = |port, milli_retries| LoanRequest {
         address: address(port),
         amount: need(milli_retries),
     };
     assert_eq!(
-        wants(&mut asked(), 600),
-        [want(2_001, 4_500), want(3_001, 2_000)]
+        loan_requests(&mut book_with_needs(), 600),
+        [request(2_001, 4_500), request(3_001, 2_000)]
     );
 }
 
 #[test]
 fn a_need_is_answered_once() {
-    let mut a = asked();
-    assert!(!wants(&mut a, 600).is_empty());
-    assert!(wants(&mut a, 700).is_empty());
+    let mut a = book_with_needs();
+    assert!(!loan_requests(&mut a, 600).is_empty());
+    assert!(loan_requests(&mut a, 700).is_empty());
 }
 
 #[test]
 fn the_need_of_a_silent_peer_is_not_answered() {
-    assert!(wants(&mut asked(), 1_500).is_empty());
+    assert!(loan_requests(&mut book_with_needs(), 1_500).is_empty());
 }
 
-/// A loan that counted again with a repeated or overtaken heartbeat would be used twice.
+/// Guards against a loan being used twice when its heartbeat is duplicated or reordered.
 #[test]
-fn a_heartbeat_that_came_twice_or_late_is_not_the_newest() {
+fn a_duplicated_or_late_heartbeat_is_not_the_newest() {
     let mut a = book("a", "lac", 1_000);
     let mut b = book("b", "lac", 2_000);
     let (first, second) = (heartbeat(&mut b, READY, 500), heartbeat(&mut b, READY, 750));
@@ -71,18 +70,18 @@
     assert!(a.is_newest(&restarted));
 }
 
-/// A process that had heard one peer shared the budget with that one alone.
+/// Guards against a process that has heard a single peer dividing the budget by two.
 #[test]
-fn a_process_that_has_heard_one_peer_knows_how_many_share_the_budget() {
-    let beat = heartbeat(&mut asked(), READY, 600);
+fn one_peer_tells_a_new_process_how_many_share_the_budget() {
+    let beat = heartbeat(&mut book_with_needs(), READY, 600);
     let mut new = book("f", "lac", 6_000);
     new.apply_heartbeat(&beat, address(1_001), 610);
     assert_eq!(new.known_instances(), 5);
 }
 
-/// A process that has started in the lender's place has lent nothing.
+/// Guards against returning a loan to a restarted process, which has lent nothing.
 #[test]
-fn a_loan_goes_back_to_the_process_that_gave_it() {
+fn a_loan_is_returned_to_the_process_that_lent_it() {
     let mut a = book("a", "lac", 1_000);
     let beat = heartbeat(&mut book("b", "lac", 2_000), READY, 500);
     a.apply_heartbeat(&beat, address(2_001), 510);
@@ -100,8 +99,8 @@
 fn loans_add_little_to_a_heartbeat() {
     let mut beat = heartbeat(&mut book("a", "lac", 1_000), READY, 600);
     let length = |beat: &Heartbeat, answer: &PeerPart| {
-        let shared = heartbeat_bytes(beat).expect("it can be written");
-        datagram(&shared, answer).expect("it can be written").len()
+        let shared = heartbeat_bytes(beat).expect("it can be encoded");
+        datagram(&shared, answer).expect("it can be encoded").len()
     };
     let without = length(&beat, &PeerPart::default());
     beat.retry_needs = vec![need(90_000)];
@@ -118,8 +117,8 @@
         with - without
     );
     assert!(with - without <= 32);
-    let shared = heartbeat_bytes(&beat).expect("it can be written");
-    let bytes = datagram(&shared, &answer).expect("it can be written");
-    let (read, read_answer) = read_datagram(&bytes).expect("it was written so");
+    let shared = heartbeat_bytes(&beat).expect("it can be encoded");
+    let bytes = datagram(&shared, &answer).expect("it can be encoded");
+    let (read, read_answer) = read_datagram(&bytes).expect("it can be decoded");
     assert_eq!((read.retry_needs, read_answer), (beat.retry_needs, answer));
 }
--- a/src/relay_server/room_notice.rs
+++ b/src/relay_server/room_notice.rs
@@ -1,7 +1,7 @@
-//! The word among instances that an engine has turned a request away for want of room.
+//! Notices by which instances inform one another that an engine has rejected a request because it is full.
 //!
-//! Each instance that has to find this out by itself pays a repeat for it and its caller a pause.
-//! The word is short and goes out at once, beside the heartbeats, which are long and up to 250 ms apart.
+//! An instance that has to find this out for itself spends a retry on it, and its caller waits. Notices are
+//! short and sent at once, whereas heartbeats are long and up to 250 ms apart.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,37 +17,35 @@
 use crate::clock::boot_ms;
 use crate::ids::{EndpointId, InstanceId, ZoneName};
 
-/// First byte of a notice. No heartbeat begins so: its first byte is the length of its sender's name.
-const MARK: u8 = 0;
-/// Pause between two notices of one instance, so that they take up little of its link however many
-/// engines are full; what is found meanwhile goes with the next.
-const PAUSE_MS: u64 = 50;
-/// Most engines in a notice, so that it arrives in one piece.
-const MOST_ENGINES: usize = 32;
+/// First byte of a notice. A heartbeat cannot start with 0, as its first byte is the length of its sender's
+/// name.
+const NOTICE_TAG: u8 = 0;
+/// Minimum interval between two notices of one instance, which limits their use of its link however many
+/// engines are full. Engines found full in the meantime are included in the next notice.
+const MIN_NOTICE_INTERVAL_MS: u64 = 50;
+/// Keeps a notice short enough for a single unfragmented datagram.
+const MAX_ENGINES: usize = 32;
 
-/// Engines that turned a request of the sender away just now.
+/// Engines that have just rejected a request of the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct RoomNotice {
     pub(super) instance: InstanceId,
     pub(super) full: Vec<EndpointId>,
 }
 
-/// Whether a datagram is a notice.
 pub(super) fn is_notice(datagram: &[u8]) -> bool {
-    datagram.first() == Some(&MARK)
+    datagram.first() == Some(&NOTICE_TAG)
 }
 
-/// Writes a notice.
 pub(super) fn notice_bytes(notice: &RoomNotice) -> Result<Vec<u8>, postcard::Error> {
-    postcard::to_extend(notice, vec![MARK])
+    postcard::to_extend(notice, vec![NOTICE_TAG])
 }
 
-/// Reads a notice.
 pub(super) fn read_notice(datagram: &[u8]) -> Result<RoomNotice, postcard::Error> {
     postcard::from_bytes(datagram.get(1..).unwrap_or_default())
 }
 
-/// Sends notices whenever engines were found full, for as long as the process runs.
+/// Sends a notice whenever engines were found full, for as long as the process runs.
 pub(super) async fn send_full_notices<A>(node: Rc<Node<A>>, socket: Rc<UdpSocket>)
 where
     A: Adapter,
@@ -55,7 +53,7 @@
     loop {
         node.full_engines_notify.notified().await;
         send(&node, &socket).await;
-        sleep(Duration::from_millis(PAUSE_MS)).await;
+        sleep(Duration::from_millis(MIN_NOTICE_INTERVAL_MS)).await;
     }
 }
 
@@ -64,16 +62,16 @@
     A: Adapter,
 {
     let mut full = node.unannounced_full_engines.take();
-    full.truncate(MOST_ENGINES);
+    full.truncate(MAX_ENGINES);
     if full.is_empty() {
         return;
     }
-    let addresses = concerned(node, &full);
+    let addresses = recipients(node, &full);
     let instance = node.settings.instance.clone();
     let bytes = match notice_bytes(&RoomNotice { instance, full }) {
         Ok(bytes) => bytes,
         Err(error) => {
-            log::error!(error:% = error; "notice of full engines cannot be written");
+            log::error!(error:% = error; "notice of full engines could not be encoded");
             return;
         }
     };
@@ -81,33 +79,33 @@
     for address in addresses {
         node.counters
             .add("relay.full.bytes_told", bytes.len() as u64);
-        // A datagram that cannot be sent is like a lost one: its recipient finds out by itself.
+        // Treated like a datagram that the network loses: the recipient finds out for itself.
         if let Err(error) = socket.send_to(&bytes, address).await {
-            log::debug!(peer:% = address, error:% = error; "notice of full engines was not sent");
+            log::debug!(peer:% = address, error:% = error; "notice of full engines could not be sent");
         }
     }
 }
 
-/// Instances that may use these engines: those of the own zone, which has the same knowledge of loads,
+/// Addresses of instances that may choose these engines: those of the own zone, which know the same loads,
 /// and those of the engines' zones.
-fn concerned<A>(node: &Node<A>, full: &[EndpointId]) -> Vec<SocketAddr> {
+fn recipients<A>(node: &Node<A>, full: &[EndpointId]) -> Vec<SocketAddr> {
     let mut zones: IndexSet<ZoneName> = IndexSet::from([node.settings.zone.clone()]);
     let fleet = node.fleet.borrow();
     let known = full.iter().filter_map(|id| fleet.get(id));
     zones.extend(known.map(|known| known.listed.zone.clone()));
-    node.peers.borrow().heard_in(&zones, boot_ms())
+    node.peers.borrow().addresses_in(&zones, boot_ms())
 }
 
-/// Takes a notice: its engines are done without for a while, as if they had turned a request of this
-/// instance away. It is not passed on.
-pub(super) fn take<A>(node: &Node<A>, datagram: &[u8], from: SocketAddr)
+/// Applies a notice: its engines are avoided for some time, as if they had rejected a request of this
+/// instance. The notice is not forwarded.
+pub(super) fn receive<A>(node: &Node<A>, datagram: &[u8], from: SocketAddr)
 where
     A: Adapter,
 {
     let notice = match read_notice(datagram) {
         Ok(notice) => notice,
         Err(error) => {
-            log::warn!(peer:% = from, error:% = error; "notice is malformed");
+            log::warn!(peer:% = from, error:% = error; "notice of full engines is malformed");
             return;
         }
     };
@@ -118,7 +116,7 @@
             && known.health.record_full(now_ms)
         {
             node.counters.count("relay.full.heard");
-            log::info!(endpoint = id.as_str(), peer = notice.instance.as_str(); "engine is full, a peer says");
+            log::info!(endpoint = id.as_str(), peer = notice.instance.as_str(); "peer reports that engine is full");
         }
     }
 }
--- a/src/relay_server/store_readers_tests.rs
+++ b/src/relay_server/store_readers_tests.rs
@@ -1,55 +1,75 @@
 use proptest::prelude::*;
 
-use super::store_readers::{STALE_MS, StoreReaderView};
+use super::store_readers::{STORE_STALE_MS, StoreReaderView};
 
-/// Instances of one zone in steps of simulated time. Each hears all of them that live, a step later.
+#[derive(Clone, Copy)]
+struct Instance {
+    is_reader: bool,
+    /// When the store last answered it.
+    answered_ms: Option<u64>,
+    is_alive: bool,
+    can_reach_store: bool,
+}
+
+/// Simulates the instances of one zone in discrete steps. Each hears all that are alive, one step later.
 struct Zone {
-    /// Whether each reads, when the store last answered it, whether it lives, and whether the store
-    /// answers it.
-    instances: Vec<(bool, Option<u64>, bool, bool)>,
-    calls: u64,
+    instances: Vec<Instance>,
 }
 
-/// A step: how often heartbeats go out.
+/// The interval between heartbeats.
 const STEP_MS: u64 = 250;
 
 impl Zone {
     fn new(count: usize) -> Self {
+        let instance = Instance {
+            is_reader: false,
+            answered_ms: None,
+            is_alive: true,
+            can_reach_store: true,
+        };
         Self {
-            instances: vec![(false, None, true, true); count],
-            calls: 0,
+            instances: vec![instance; count],
         }
     }
 
     fn step(&mut self, now_ms: u64) {
         let heard = self.instances.clone();
-        let is_fresh = |at_ms: Option<u64>| at_ms.is_some_and(|at| now_ms < at + STALE_MS);
+        let is_fresh = |it: &Instance| {
+            it.answered_ms
+                .is_some_and(|at_ms| now_ms < at_ms + STORE_STALE_MS)
+        };
         for (index, own) in self.instances.iter_mut().enumerate() {
-            let before = heard[..index].iter().filter(|it| it.2);
+            let ahead = heard[..index].iter().filter(|it| it.is_alive);
+            let alive = heard.iter().filter(|it| it.is_alive);
             let view = StoreReaderView {
-                rank: before.clone().count(),
-                answered_ahead: before.filter(|it| it.0 && is_fresh(it.1)).count(),
-                answered_ms: heard.iter().filter(|it| it.2).filter_map(|it| it.1).max(),
+                rank: ahead.clone().count(),
+                answered_ahead: ahead.filter(|it| it.is_reader && is_fresh(it)).count(),
+                answered_ms: alive.filter_map(|it| it.answered_ms).max(),
                 started_ms: 0,
-                is_reader: own.0,
+                is_reader: own.is_reader,
             };
-            own.0 = own.2 && view.should_read(now_ms);
-            if own.0 {
-                self.calls += 1;
-            }
-            if own.0 && own.3 {
-                own.1 = Some(now_ms);
+            own.is_reader = own.is_alive && view.should_read(now_ms);
+            if own.is_reader && own.can_reach_store {
+                own.answered_ms = Some(now_ms);
             }
         }
     }
 
     fn readers(&self) -> usize {
-        self.instances.iter().filter(|it| it.0).count()
+        self.instances.iter().filter(|it| it.is_reader).count()
+    }
+
+    /// Readers that are alive and that the store answers.
+    fn answered_readers(&self) -> usize {
+        let readers = self.instances.iter().filter(|it| it.is_reader);
+        readers
+            .filter(|it| it.is_alive && it.can_reach_store)
+            .count()
     }
 }
 
 #[test]
-fn three_of_a_zone_read_and_the_others_are_told() {
+fn three_instances_of_a_zone_read_the_store() {
     for count in [1, 3, 39, 300] {
         let mut zone = Zone::new(count);
         for step in 0..40 {
@@ -60,13 +80,13 @@
 }
 
 #[test]
-fn others_step_in_soon_when_the_store_answers_none_of_the_first() {
+fn others_start_reading_soon_after_the_readers_lose_the_store() {
     let mut zone = Zone::new(39);
     for step in 0..40 {
         zone.step(step * STEP_MS);
     }
     for first in 0..3 {
-        zone.instances[first].3 = false;
+        zone.instances[first].can_reach_store = false;
     }
     let cut_ms = 40 * STEP_MS;
     let mut waited_ms = 0;
@@ -74,27 +94,27 @@
         zone.step(cut_ms + waited_ms);
         waited_ms += STEP_MS;
     }
-    assert!(waited_ms <= STALE_MS + 2 * STEP_MS, "{waited_ms} ms");
+    assert!(waited_ms <= STORE_STALE_MS + 2 * STEP_MS, "{waited_ms} ms");
     for step in 0..40 {
         zone.step(cut_ms + waited_ms + step * STEP_MS);
     }
     assert_eq!(
         zone.readers(),
         6,
-        "three that are answered beside the three that are not"
+        "three that the store answers, and the three that it does not"
     );
-    zone.instances[0].3 = true;
-    zone.instances[1].3 = true;
-    zone.instances[2].3 = true;
+    zone.instances[0].can_reach_store = true;
+    zone.instances[1].can_reach_store = true;
+    zone.instances[2].can_reach_store = true;
     for step in 40..80 {
         zone.step(cut_ms + waited_ms + step * STEP_MS);
     }
-    assert_eq!(zone.readers(), 3, "the first are enough again");
+    assert_eq!(zone.readers(), 3, "the first three are enough again");
 }
 
 proptest! {
-    /// Whatever dies or is cut off from the store, somebody who is answered reads it within seconds, if
-    /// there is anybody, and hundreds do not go on reading.
+    /// Whichever instances die or lose the store, one that the store answers reads it within seconds, if
+    /// there is any, and the number of readers stays small.
     #[test]
     fn a_zone_is_never_long_without_a_reader(
         count in 3..120_usize,
@@ -106,22 +126,23 @@
             zone.step(step * STEP_MS);
         }
         for index in dead {
-            zone.instances[index.index(count)].2 = false;
+            zone.instances[index.index(count)].is_alive = false;
         }
         for index in cut {
-            zone.instances[index.index(count)].3 = false;
+            zone.instances[index.index(count)].can_reach_store = false;
         }
-        let able = zone.instances.iter().filter(|it| it.2 && it.3).count();
+        let instances = zone.instances.iter();
+        let able = instances.filter(|it| it.is_alive && it.can_reach_store).count();
         for step in 20..40 {
             zone.step(step * STEP_MS);
         }
-        let answered = |zone: &Zone| zone.instances.iter().filter(|it| it.0 && it.2 && it.3).count();
-        prop_assert!(answered(&zone) >= able.min(1));
+        prop_assert!(zone.answered_readers() >= able.min(1));
         for step in 40..60 {
             zone.step(step * STEP_MS);
         }
-        let cut_off = zone.instances.iter().filter(|it| it.2 && !it.3).count();
-        prop_assert!(answered(&zone) >= able.min(1));
+        let instances = zone.instances.iter();
+        let cut_off = instances.filter(|it| it.is_alive && !it.can_reach_store).count();
+        prop_assert!(zone.answered_readers() >= able.min(1));
         prop_assert!(zone.readers() <= cut_off + 6, "{} readers", zone.readers());
     }
 }
