--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -391,16 +391,16 @@
     }
 
     /// Whether the holder of a lease still issues orders under it. It has ended if it has released the lease
-    /// or another process runs in its place. If it is only silent, it is presumed to have ended, which may
-    /// be wrong.
+    /// or another process runs in its place. If it is only silent and has not renewed the lease, it is
+    /// presumed to have ended, which may be wrong.
     pub(crate) fn lease_holder_status(
         &self,
         service: &ServiceName,
         holder: &LeaseHolder,
         now_ms: u64,
     ) -> HolderStatus {
-        let released_leases = self.peer_released_leases.get(service);
-        if released_leases.is_some_and(|fence| *fence >= holder.fence) {
+        let released_fence = self.peer_released_leases.get(service);
+        if released_fence.is_some_and(|fence| *fence >= holder.fence) {
             return HolderStatus::Ended;
         }
         let peer = self.peers.get(&holder.instance);
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -98,8 +98,8 @@
 }
 
 fn ports(book: &PeerBook, own: Availability, now_ms: u64) -> Vec<u16> {
-    let named = book.addresses_for(&ZoneName::from("lac"), own, now_ms);
-    named.iter().map(SocketAddr::port).collect()
+    let addresses = book.addresses_for(&ZoneName::from("lac"), own, now_ms);
+    addresses.iter().map(SocketAddr::port).collect()
 }
 
 #[test]
@@ -211,23 +211,23 @@
     let shared = heartbeat_bytes(&beat).expect("it can be encoded");
     let echo = a.recipients(READY, 500_100)[0].echo;
     assert!(echo.is_some());
-    let answer = PeerPart {
+    let peer_part = PeerPart {
         echo,
         ..PeerPart::default()
     };
-    let binary = datagram(&shared, &answer).expect("it can be encoded");
+    let binary = datagram(&shared, &peer_part).expect("it can be encoded");
     assert!(binary.len() * 2 < json, "{} of {json} bytes", binary.len());
     // An absolute bound as well, since the JSON grows with the length of field names.
     assert!(binary.len() <= 614, "{} bytes", binary.len());
-    let (read, read_answer) = read_datagram(&binary).expect("it can be decoded");
+    let (read, read_peer_part) = read_datagram(&binary).expect("it can be decoded");
     assert_eq!(read.held, beat.held);
-    assert_eq!(read_answer, answer);
+    assert_eq!(read_peer_part, peer_part);
     println!("heartbeat: {} bytes, {json} as JSON", binary.len());
 }
 
 #[test]
 fn an_instance_that_the_store_does_not_answer_is_not_preferred_as_leader() {
-    let heard_at = |availability| book_of_a((availability, 500), (READY, 500));
+    let with_b = |availability| book_of_a((availability, 500), (READY, 500));
     let mut b = book("b", "lac", 2_000);
     let own = heartbeat(&mut book("a", "lac", 1_000), CUT_OFF, 500);
     b.apply_heartbeat(&own, address(1_001), 500);
@@ -235,7 +235,7 @@
         b.is_preferred_leader(600),
         "`a` ranks ahead, but cannot take the lease"
     );
-    assert!(heard_at(READY).is_preferred_leader(600));
+    assert!(with_b(READY).is_preferred_leader(600));
 }
 
 #[test]
