--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -15,7 +15,7 @@
 use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
 use super::super::settings::RelaySettings;
 use super::super::snapshot::KnownVersions;
-use super::super::store_contact::StoreHealth;
+use super::super::store_health::StoreHealth;
 use super::super::test_settings;
 use super::store::Access;
 use crate::fleet::{
--- a/src/relay_server/mod.rs
+++ b/src/relay_server/mod.rs
@@ -34,11 +34,11 @@
 mod peer_book;
 #[cfg(test)]
 mod peer_book_tests;
-#[cfg(test)]
-mod peer_news_tests;
 mod peer_selection;
 #[cfg(test)]
 mod peer_selection_tests;
+#[cfg(test)]
+mod peer_updates_tests;
 mod peers;
 mod plain;
 mod probes;
@@ -62,7 +62,7 @@
 mod settings;
 mod snapshot;
 mod start_wait;
-mod store_contact;
+mod store_health;
 mod store_readers;
 #[cfg(test)]
 mod store_readers_tests;
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -13,7 +13,7 @@
 use super::list_log::ListLog;
 use super::peer_book::PeerBook;
 use super::settings::RelaySettings;
-use super::store_contact::StoreHealth;
+use super::store_health::StoreHealth;
 use super::uplink::Uplink;
 use super::upstream::UpstreamPool;
 use crate::clock::boot_ms;
