--- a/src/quarantine/cleared.rs
+++ b/src/quarantine/cleared.rs
@@ -8,7 +8,7 @@
 
 /// Requests of one generation. A request that is sent often stays; one in thousands that was sent once
 /// is forgotten with its generation.
-const MOST_OF_GENERATION: usize = 2_048;
+const GENERATION_CAPACITY: usize = 2_048;
 /// Longest life of a generation.
 const GENERATION_MS: u64 = 300_000;
 
@@ -23,8 +23,8 @@
 
 impl Cleared {
     /// Notes that an endpoint went on under a request.
-    pub(super) fn note(&mut self, digest: RequestDigest, at_ms: u64, now_ms: u64) {
-        let is_full = self.newer.len() >= MOST_OF_GENERATION;
+    pub(super) fn record(&mut self, digest: RequestDigest, at_ms: u64, now_ms: u64) {
+        let is_full = self.newer.len() >= GENERATION_CAPACITY;
         if is_full || now_ms >= self.since_ms + GENERATION_MS {
             self.older = mem::take(&mut self.newer);
             self.since_ms = now_ms;
--- a/src/quarantine/digest.rs
+++ b/src/quarantine/digest.rs
@@ -13,7 +13,7 @@
 /// Length of a digest: two requests of a deployment have the same one by chance once in 2^64 of them.
 const DIGEST_BYTES: usize = 16;
 /// Bytes of a digest that log lines show.
-const SHOWN_BYTES: usize = 8;
+const LOGGED_BYTES: usize = 8;
 
 /// What makes a request the same as another. Its id and the caller's time do not: they change with each
 /// attempt. Nor does the last event that the caller has: a stream that is resumed is the same request.
@@ -42,7 +42,7 @@
 
 impl DigestKey {
     /// Draws a new key.
-    pub fn draw<R>(rng: &mut R) -> Self
+    pub fn generate<R>(rng: &mut R) -> Self
     where
         R: rand::Rng,
     {
@@ -101,7 +101,7 @@
 /// The beginning of the digest, which is enough for log lines.
 impl fmt::Display for RequestDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&hex::encode(&self.0[..SHOWN_BYTES]))
+        f.write_str(&hex::encode(&self.0[..LOGGED_BYTES]))
     }
 }
 
--- a/src/quarantine/digest_tests.rs
+++ b/src/quarantine/digest_tests.rs
@@ -8,7 +8,7 @@
 use crate::ids::AccountId;
 
 fn key(seed: u64) -> DigestKey {
-    DigestKey::draw(&mut SmallRng::seed_from_u64(seed))
+    DigestKey::generate(&mut SmallRng::seed_from_u64(seed))
 }
 
 fn digest_of(account: Option<&str>, path: &str, body: &[u8]) -> RequestDigest {
--- a/src/quarantine/evidence.rs
+++ b/src/quarantine/evidence.rs
@@ -20,14 +20,14 @@
 impl RunStage {
     /// Time from the head of its answer in which a run is beginning. Whatever ends an endpoint later was
     /// not the beginning of that run; streams that run on by then are nearly all that an endpoint has.
-    pub(crate) const BEGINNING_MS: u64 = 1_000;
+    pub(crate) const STARTUP_MS: u64 = 1_000;
 
     /// The stage of a run whose head came so long ago, if it came; `None` if the run goes on too long
     /// already to be beginning.
     pub(crate) fn of_run(head_ago_ms: Option<u64>) -> Option<Self> {
         match head_ago_ms {
             None => Some(Self::Waiting),
-            Some(ago_ms) if ago_ms < Self::BEGINNING_MS => Some(Self::Started {
+            Some(ago_ms) if ago_ms < Self::STARTUP_MS => Some(Self::Started {
                 after_ms: ago_ms as u32,
             }),
             Some(_) => None,
--- a/src/quarantine/false_positive_tests.rs
+++ b/src/quarantine/false_positive_tests.rs
@@ -173,7 +173,7 @@
         let now_ms = self.now_ms;
         for run in &self.runs {
             let head_ago_ms = (now_ms - run.since_ms).checked_sub(HEAD_MS);
-            if run.request != CRASHING && head_ago_ms == Some(RunStage::BEGINNING_MS) {
+            if run.request != CRASHING && head_ago_ms == Some(RunStage::STARTUP_MS) {
                 self.instances[run.instance].clear(digest(run.request), now_ms);
             }
         }
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -4,8 +4,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::cleared::Cleared;
-use super::pending::{BrokenRun, Pending};
-use super::verdict::{Death, Deaths, ENDS_TO_WITHHOLD, withheld};
+use super::pending::{BrokenRun, PendingRuns};
+use super::verdict::{CRASHES_TO_WITHHOLD, Crash, Crashes, withheld};
 use super::{ClearanceReport, CrashReport, EndpointLiveness, RequestDigest, RunStage};
 use crate::dissemination::Rotation;
 use crate::ids::EndpointId;
@@ -15,16 +15,16 @@
 /// longer.
 pub(crate) const EVIDENCE_TTL_MS: u64 = 600_000;
 /// Requests under suspicion that are remembered.
-const MOST_SUSPECTS: usize = 1_024;
+const MAX_SUSPECTS: usize = 1_024;
 /// Ends that are remembered of one request.
-const MOST_DEATHS: usize = 16;
+const MAX_CRASHES: usize = 16;
 /// How often news is told, in heartbeats: some may be lost.
-const TELLINGS: u8 = 4;
+const SENDS_PER_UPDATE: u8 = 4;
 /// News in one heartbeat; with some forty bytes each, it still fits one packet.
-const MOST_NEWS: usize = 16;
+const MAX_UPDATES: usize = 16;
 /// Evidence against withheld requests in one heartbeat, in turn, so that instances that start or were cut
 /// off learn it from any other.
-const MOST_REMINDERS: usize = 2;
+const MAX_REMINDERS: usize = 2;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,13 +43,13 @@
     /// A request is withheld from now on, since these endpoints have ended under it.
     Withheld(RequestDigest, Vec<EndpointId>),
     /// A request is not withheld any more.
-    Free(RequestDigest),
+    Released(RequestDigest),
 }
 
 /// News that is still to be told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum News {
-    Death(RequestDigest, EndpointId),
+enum Update {
+    Crash(RequestDigest, EndpointId),
     Cleared(RequestDigest),
 }
 
@@ -73,14 +73,14 @@
 /// whatever callers and peers send.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    pending: Pending,
+    pending: PendingRuns,
     /// Those with fewer ends are forgotten first, of several the one whose newest is oldest.
-    suspects: IndexMap<RequestDigest, Deaths>,
+    suspects: IndexMap<RequestDigest, Crashes>,
     cleared: Cleared,
     withheld: IndexMap<RequestDigest, Vec<EndpointId>>,
-    news: IndexMap<News, u8>,
+    updates: IndexMap<Update, u8>,
     /// How far the turn of reminders has come.
-    reminded: Rotation,
+    reminder_rotation: Rotation,
 }
 
 impl Quarantine {
@@ -94,11 +94,15 @@
         }
         let deaths = self.suspects.get(digest);
         let is_new = |id: &&EndpointId| deaths.is_none_or(|deaths| !deaths.contains_key(*id));
-        let open = self.pending.fresh_of(digest, now_ms).filter(is_new).count();
+        let open = self
+            .pending
+            .recent_endpoints(digest, now_ms)
+            .filter(is_new)
+            .count();
         let known = deaths.map_or(0, IndexMap::len);
         // A request that brings nobody down breaks off here and there, too: it is held back only where
         // the open one would decide.
-        if open > 0 && known + open >= ENDS_TO_WITHHOLD {
+        if open > 0 && known + open >= CRASHES_TO_WITHHOLD {
             QuarantineStatus::Undecided
         } else {
             QuarantineStatus::Allowed
@@ -123,7 +127,7 @@
             stage,
             at_ms: now_ms,
         };
-        self.pending.note(digest, endpoint, run);
+        self.pending.record(digest, endpoint, run);
     }
 
     /// Takes what is known by now of endpoints at which runs broke off. `fate` is asked for an endpoint
@@ -132,32 +136,32 @@
     where
         F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
-        let ended = self.pending.settle(now_ms, fate);
-        let lapsed = self.drop_lapsed(now_ms);
+        let ended = self.pending.resolve(now_ms, fate);
+        let lapsed = self.drop_expired(now_ms);
         if ended.is_empty() && !lapsed {
             return Vec::new();
         }
         for (digest, endpoint, run) in ended {
-            let death = Death {
+            let death = Crash {
                 stage: run.stage,
                 at_ms: run.at_ms,
             };
-            if self.note_death(digest, &endpoint, death) {
-                self.tell(News::Death(digest, endpoint));
+            if self.record_crash(digest, &endpoint, death) {
+                self.announce(Update::Crash(digest, endpoint));
             }
         }
-        self.judge()
+        self.reevaluate()
     }
 
     /// Takes that an endpoint went on under a request: it was answered whole, or a run of it is past its
     /// beginning. Such a request does not end whatever runs it.
     pub(crate) fn clear(&mut self, digest: RequestDigest, now_ms: u64) -> Vec<QuarantineChange> {
-        self.cleared.note(digest, now_ms, now_ms);
+        self.cleared.record(digest, now_ms, now_ms);
         if self.suspects.swap_remove(&digest).is_none() {
             return Vec::new();
         }
-        self.tell(News::Cleared(digest));
-        self.judge()
+        self.announce(Update::Cleared(digest));
+        self.reevaluate()
     }
 
     /// Takes evidence that a peer tells. What is new is told on if `relays`.
@@ -171,10 +175,10 @@
         for word in &told.clearances {
             let at_ms = now_ms.saturating_sub(u64::from(word.age_ms));
             let is_new = self.cleared.at_ms(&word.digest).is_none();
-            self.cleared.note(word.digest, at_ms, now_ms);
+            self.cleared.record(word.digest, at_ms, now_ms);
             is_news |= self.suspects.swap_remove(&word.digest).is_some();
             if is_new && relays {
-                self.tell(News::Cleared(word.digest));
+                self.announce(Update::Cleared(word.digest));
             }
         }
         for told in &told.crashes {
@@ -184,43 +188,47 @@
             }
             if self.cleared.at_ms(&told.digest).is_some() {
                 // The peer does not know that an endpoint went on under it.
-                self.tell(News::Cleared(told.digest));
+                self.announce(Update::Cleared(told.digest));
                 continue;
             }
-            let death = Death {
+            let death = Crash {
                 stage: told.stage,
                 at_ms: now_ms.saturating_sub(age_ms),
             };
-            if self.note_death(told.digest, &told.endpoint, death) {
+            if self.record_crash(told.digest, &told.endpoint, death) {
                 is_news = true;
                 if relays {
-                    self.tell(News::Death(told.digest, told.endpoint.clone()));
+                    self.announce(Update::Crash(told.digest, told.endpoint.clone()));
                 }
             }
         }
-        if is_news { self.judge() } else { Vec::new() }
+        if is_news {
+            self.reevaluate()
+        } else {
+            Vec::new()
+        }
     }
 
     /// Whether there is news that peers should hear at once.
     pub(crate) fn has_unsent_updates(&self) -> bool {
-        self.news.values().any(|left| *left == TELLINGS)
+        self.updates.values().any(|left| *left == SENDS_PER_UPDATE)
     }
 
     /// What the next heartbeat tells: news a few times, then the evidence against withheld requests in
     /// turn.
     pub(crate) fn next_report(&mut self, now_ms: u64) -> EvidenceReport {
         let mut told = EvidenceReport::default();
-        let named: Vec<News> = self.news.keys().take(MOST_NEWS).cloned().collect();
+        let named: Vec<Update> = self.updates.keys().take(MAX_UPDATES).cloned().collect();
         for news in &named {
-            if let Some(left) = self.news.get_mut(news) {
+            if let Some(left) = self.updates.get_mut(news) {
                 *left -= 1;
             }
             match news {
-                News::Death(digest, endpoint) => {
+                Update::Crash(digest, endpoint) => {
                     told.crashes
-                        .extend(self.told_death(digest, endpoint, now_ms));
+                        .extend(self.crash_report(digest, endpoint, now_ms));
                 }
-                News::Cleared(digest) => {
+                Update::Cleared(digest) => {
                     let at_ms = self.cleared.at_ms(digest);
                     told.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
                         digest: *digest,
@@ -229,7 +237,7 @@
                 }
             }
         }
-        self.news.retain(|_, left| *left > 0);
+        self.updates.retain(|_, left| *left > 0);
         told.crashes.extend(self.reminders(now_ms));
         told
     }
@@ -240,16 +248,16 @@
             .iter()
             .flat_map(|(digest, endpoints)| {
                 // Three are enough to have it withheld elsewhere.
-                let enough = endpoints.iter().take(ENDS_TO_WITHHOLD);
+                let enough = endpoints.iter().take(CRASHES_TO_WITHHOLD);
                 enough.map(move |endpoint| (digest, endpoint))
             })
             .collect();
-        let turn = self.reminded.next_batch(&all, MOST_REMINDERS);
-        turn.filter_map(|(digest, endpoint)| self.told_death(digest, endpoint, now_ms))
+        let turn = self.reminder_rotation.next_batch(&all, MAX_REMINDERS);
+        turn.filter_map(|(digest, endpoint)| self.crash_report(digest, endpoint, now_ms))
             .collect()
     }
 
-    fn told_death(
+    fn crash_report(
         &self,
         digest: &RequestDigest,
         endpoint: &EndpointId,
@@ -264,33 +272,33 @@
         })
     }
 
-    fn tell(&mut self, news: News) {
-        if self.news.len() < MOST_SUSPECTS {
-            self.news.entry(news).or_insert(TELLINGS);
+    fn announce(&mut self, news: Update) {
+        if self.updates.len() < MAX_SUSPECTS {
+            self.updates.entry(news).or_insert(SENDS_PER_UPDATE);
         }
     }
 
     /// Returns whether this says more than was known: another end, or that a run had done less. Of several
     /// runs of a request at one endpoint the one that had done least counts, whoever's word comes first.
-    fn note_death(&mut self, digest: RequestDigest, endpoint: &EndpointId, death: Death) -> bool {
+    fn record_crash(&mut self, digest: RequestDigest, endpoint: &EndpointId, death: Crash) -> bool {
         if self.cleared.at_ms(&digest).is_some() {
             return false;
         }
-        if !self.suspects.contains_key(&digest) && self.suspects.len() >= MOST_SUSPECTS {
-            self.forget_least();
+        if !self.suspects.contains_key(&digest) && self.suspects.len() >= MAX_SUSPECTS {
+            self.evict_weakest();
         }
         let deaths = self.suspects.entry(digest).or_default();
         let count = deaths.len();
         match deaths.get_mut(endpoint) {
             Some(known) if death.stage.rank() < known.stage.rank() => known.stage = death.stage,
             Some(_) => return false,
-            None if count >= MOST_DEATHS => return false,
+            None if count >= MAX_CRASHES => return false,
             None => drop(deaths.insert(endpoint.clone(), death)),
         }
         true
     }
 
-    fn forget_least(&mut self) {
+    fn evict_weakest(&mut self) {
         let least = self
             .suspects
             .iter()
@@ -301,14 +309,14 @@
     }
 
     /// Forgets evidence that is too old; returns whether there was any.
-    fn drop_lapsed(&mut self, now_ms: u64) -> bool {
+    fn drop_expired(&mut self, now_ms: u64) -> bool {
         let before = self.suspects.len();
         self.suspects
             .retain(|_, deaths| now_ms < newest_ms(deaths) + EVIDENCE_TTL_MS);
         self.suspects.len() < before
     }
 
-    fn judge(&mut self) -> Vec<QuarantineChange> {
+    fn reevaluate(&mut self) -> Vec<QuarantineChange> {
         let suspects = self.suspects.iter();
         let now = withheld(suspects);
         let mut changes: Vec<QuarantineChange> = Vec::new();
@@ -318,14 +326,14 @@
             }
         }
         for digest in self.withheld.keys().filter(|it| !now.contains_key(*it)) {
-            changes.push(QuarantineChange::Free(*digest));
+            changes.push(QuarantineChange::Released(*digest));
         }
         self.withheld = now;
         changes
     }
 }
 
-fn newest_ms(deaths: &Deaths) -> u64 {
+fn newest_ms(deaths: &Crashes) -> u64 {
     deaths.values().map(|death| death.at_ms).max().unwrap_or(0)
 }
 
--- a/src/quarantine/pending.rs
+++ b/src/quarantine/pending.rs
@@ -7,11 +7,11 @@
 
 /// How long the end of an endpoint is waited for. A refused connection shows it within milliseconds; the
 /// list of endpoints drops one that has gone silent within some seconds.
-const FATE_MS: u64 = 6_000;
+const FATE_TIMEOUT_MS: u64 = 6_000;
 /// How long a request is held back until it is known whether one more endpoint has ended under it.
 const HOLD_BACK_MS: u64 = 150;
 /// Runs that are kept: all that a few endpoints have at a time.
-const MOST_RUNS: usize = 1_024;
+const MAX_RUNS: usize = 1_024;
 
 /// A run that broke off.
 #[derive(Clone, Copy, Debug)]
@@ -22,14 +22,14 @@
 
 /// Runs that broke off, by request and endpoint.
 #[derive(Debug, Default)]
-pub(super) struct Pending {
+pub(super) struct PendingRuns {
     runs: IndexMap<(RequestDigest, EndpointId), BrokenRun>,
 }
 
-impl Pending {
+impl PendingRuns {
     /// Notes a run; of several of one request at one endpoint the first counts.
-    pub(super) fn note(&mut self, digest: RequestDigest, endpoint: &EndpointId, run: BrokenRun) {
-        if self.runs.len() >= MOST_RUNS {
+    pub(super) fn record(&mut self, digest: RequestDigest, endpoint: &EndpointId, run: BrokenRun) {
+        if self.runs.len() >= MAX_RUNS {
             self.runs.shift_remove_index(0);
         }
         self.runs.entry((digest, endpoint.clone())).or_insert(run);
@@ -37,7 +37,7 @@
 
     /// Runs whose endpoints have ended; those whose endpoints live, or whose fate has been open for too
     /// long, are forgotten.
-    pub(super) fn settle<F>(
+    pub(super) fn resolve<F>(
         &mut self,
         now_ms: u64,
         fate: F,
@@ -53,13 +53,13 @@
                     false
                 }
                 EndpointLiveness::Alive => false,
-                EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_MS,
+                EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_TIMEOUT_MS,
             });
         ended
     }
 
     /// Endpoints at which a request broke off just now.
-    pub(super) fn fresh_of(
+    pub(super) fn recent_endpoints(
         &self,
         digest: &RequestDigest,
         now_ms: u64,
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -133,10 +133,10 @@
     assert!(is_withheld(&there, 1, 20));
     assert_eq!(
         here.clear(digest(1), 30),
-        [QuarantineChange::Free(digest(1))]
+        [QuarantineChange::Released(digest(1))]
     );
     let changes = there.apply_report(&here.next_report(40), false, 40);
-    assert_eq!(changes, [QuarantineChange::Free(digest(1))]);
+    assert_eq!(changes, [QuarantineChange::Released(digest(1))]);
 }
 
 #[test]
@@ -180,7 +180,7 @@
     quarantine.update(over_ms - 1, |_, _| EndpointLiveness::Ended);
     assert!(is_withheld(&quarantine, 1, over_ms));
     let changes = quarantine.update(over_ms, |_, _| EndpointLiveness::Ended);
-    assert_eq!(changes, [QuarantineChange::Free(digest(1))]);
+    assert_eq!(changes, [QuarantineChange::Released(digest(1))]);
 }
 
 #[test]
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -21,7 +21,7 @@
 use crate::route_table::EngineModel;
 
 /// Pause between two looks at what is to be ordered.
-const LOOK_MS: u64 = 300;
+const TICK_MS: u64 = 300;
 /// How long the list of endpoints must stand still before the first orders are given: engines
 /// register one after another at a start, and a plan for all of them is better.
 const SETTLE_MS: u64 = 900;
@@ -39,14 +39,14 @@
     retry_ms: 200,
 };
 /// How long the lease is kept after the last order, for what comes right behind.
-const KEEP_MS: u64 = 4_000;
+const LEASE_KEEP_MS: u64 = 4_000;
 
-struct Duty {
+struct PlacementTask {
     lease: Lease,
     placement: PlacementPlanner,
-    work_ms: Option<u64>,
+    last_order_ms: Option<u64>,
     seen_engines: usize,
-    changed_ms: u64,
+    engines_changed_ms: u64,
 }
 
 /// Looks after the layers of every model, for as long as the process runs.
@@ -54,9 +54,9 @@
 where
     A: Adapter,
 {
-    let mut duties: IndexMap<ServiceName, Duty> = IndexMap::new();
+    let mut duties: IndexMap<ServiceName, PlacementTask> = IndexMap::new();
     loop {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(TICK_MS)).await;
         let Some(table) = node.routes() else {
             continue;
         };
@@ -66,28 +66,28 @@
                 continue;
             };
             if !duties.contains_key(service) {
-                duties.insert(service.clone(), Duty::new(&node, service));
+                duties.insert(service.clone(), PlacementTask::new(&node, service));
             }
-            duties[service].look(&node, service, model, &heard).await;
+            duties[service].tick(&node, service, model, &heard).await;
         }
     }
 }
 
-impl Duty {
+impl PlacementTask {
     fn new<A>(node: &Node<A>, service: &ServiceName) -> Self {
         let instance = node.settings.instance.clone();
         Self {
             lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMES),
             placement: PlacementPlanner::default(),
-            work_ms: None,
+            last_order_ms: None,
             seen_engines: 0,
-            changed_ms: 0,
+            engines_changed_ms: 0,
         }
     }
 
     /// Looks once at what is to be ordered. `heard` are the orders that other processes told of since
     /// the look before, for the engines of any service.
-    async fn look<A>(
+    async fn tick<A>(
         &mut self,
         node: &Rc<Node<A>>,
         service: &ServiceName,
@@ -104,10 +104,10 @@
         }
         if engines.len() != self.seen_engines {
             self.seen_engines = engines.len();
-            self.changed_ms = now_ms;
+            self.engines_changed_ms = now_ms;
         }
         let is_start = engines.iter().all(|engine| engine.layers.is_none());
-        let is_settled = !is_start || now_ms >= self.changed_ms + SETTLE_MS;
+        let is_settled = !is_start || now_ms >= self.engines_changed_ms + SETTLE_MS;
         let may_lead = node.availability().may_lead();
         let is_first = may_lead && node.peers.borrow().is_preferred_leader(now_ms);
         let orders = if is_first && is_settled {
@@ -117,24 +117,26 @@
             Vec::new()
         };
         if !orders.is_empty() {
-            self.work_ms = Some(now_ms);
+            self.last_order_ms = Some(now_ms);
         }
-        let is_recent = self.work_ms.is_some_and(|at_ms| now_ms < at_ms + KEEP_MS);
-        self.want_lease(node, service, is_first && is_recent);
-        self.keep_lease(node, service).await;
+        let is_recent = self
+            .last_order_ms
+            .is_some_and(|at_ms| now_ms < at_ms + LEASE_KEEP_MS);
+        self.set_lease_wanted(node, service, is_first && is_recent);
+        self.maintain_lease(node, service).await;
         let held = self
             .lease
             .may_send_orders(node.settings.bounds.engines_check_fence, boot_ms());
         if let Some(held) = held {
-            for (order, result) in give(node, orders, held.fence).await {
-                self.gave(node, order, &result, &engines, model);
+            for (order, result) in send_orders(node, orders, held.fence).await {
+                self.record_order_result(node, order, &result, &engines, model);
             }
         }
     }
 
     /// Says whether the lease is wanted. Peers hear at once that it is given up: the store, which they
     /// would read it from, may be what this instance has lost.
-    fn want_lease<A>(&mut self, node: &Node<A>, service: &ServiceName, is_wanted: bool)
+    fn set_lease_wanted<A>(&mut self, node: &Node<A>, service: &ServiceName, is_wanted: bool)
     where
         A: Adapter,
     {
@@ -152,7 +154,7 @@
     }
 
     /// Looks whether the holder of the lease has ended.
-    fn note_holder<A>(&mut self, node: &Node<A>, service: &ServiceName) {
+    fn check_holder<A>(&mut self, node: &Node<A>, service: &ServiceName) {
         let Some(holder) = self.lease.holder() else {
             return;
         };
@@ -174,11 +176,11 @@
         }
     }
 
-    async fn keep_lease<A>(&mut self, node: &Rc<Node<A>>, service: &ServiceName)
+    async fn maintain_lease<A>(&mut self, node: &Rc<Node<A>>, service: &ServiceName)
     where
         A: Adapter,
     {
-        self.note_holder(node, service);
+        self.check_holder(node, service);
         while let Some(call) = self.lease.due(boot_ms()) {
             let result = call_table(node.adapter.store(), &call, LEASE_CALL_MS).await;
             let is_ok = result.is_ok();
@@ -191,7 +193,7 @@
                 }
                 None => {}
             }
-            self.note_holder(node, service);
+            self.check_holder(node, service);
             if !is_ok {
                 return;
             }
@@ -199,7 +201,7 @@
     }
 
     /// Takes what came of an order.
-    fn gave<A>(
+    fn record_order_result<A>(
         &mut self,
         node: &Rc<Node<A>>,
         order: PlacementOrder,
@@ -226,7 +228,7 @@
 }
 
 /// Gives orders side by side.
-async fn give<A>(
+async fn send_orders<A>(
     node: &Rc<Node<A>>,
     orders: Vec<PlacementOrder>,
     fence: u64,
@@ -235,13 +237,13 @@
     A: Adapter,
 {
     let given = orders.into_iter().map(|order| async move {
-        let result = give_one(node, &order, fence).await;
+        let result = send_order(node, &order, fence).await;
         (order, result)
     });
     join_all(given).await
 }
 
-async fn give_one<A>(
+async fn send_order<A>(
     node: &Rc<Node<A>>,
     order: &PlacementOrder,
     fence: u64,
@@ -251,7 +253,7 @@
 {
     let address = super::plain::address_of(node, &order.endpoint);
     let address = address.ok_or(OrderFailure::Unknown)?;
-    may_move(node, &order.endpoint, address).await?;
+    check_movable(node, &order.endpoint, address).await?;
     let result = node
         .adapter
         .engines()
@@ -275,7 +277,7 @@
 
 /// Asks an engine that is about to get an order how it is: one that nothing ran through lately may be
 /// slow without anybody knowing, or have an order under way that another process gave.
-async fn may_move<A>(
+async fn check_movable<A>(
     node: &Rc<Node<A>>,
     endpoint: &EndpointId,
     address: SocketAddr,
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -25,7 +25,7 @@
 const RETRY_MS: u64 = 250;
 /// The same at an instance that has stepped in: while the store is away all of a zone's step in one
 /// after another, and hundreds must not press the store when it comes back.
-const STEPPED_IN_RETRY_MS: u64 = 1_000;
+const SUBSTITUTE_RETRY_MS: u64 = 1_000;
 
 /// Keeps the table of routes up to date, for as long as the process runs.
 pub(crate) async fn follow_table<A>(node: Rc<Node<A>>)
@@ -42,7 +42,7 @@
         let read = node.adapter.store().table(position, WATCH_WAIT_MS).await;
         match read {
             Ok(read) => {
-                store_answered(&node);
+                record_store_answer(&node);
                 position = Some(read.position);
                 if apply_table(&node, read.content, sent_ms) {
                     node.request_heartbeat();
@@ -53,7 +53,7 @@
                 position = None;
             }
             Err(failure) => {
-                store_failed(&node, &failure, "table");
+                record_store_failure(&node, &failure, "table");
                 if matches!(failure, FeedFailure::Malformed(_)) {
                     position = None;
                 }
@@ -80,7 +80,7 @@
     if node.peers.borrow().is_top_ranked_in_zone(boot_ms()) {
         RETRY_MS
     } else {
-        STEPPED_IN_RETRY_MS
+        SUBSTITUTE_RETRY_MS
     }
 }
 
@@ -124,9 +124,9 @@
             .await;
         let pause_ms = match read {
             Ok(read) => {
-                store_answered(&node);
+                record_store_answer(&node);
                 position = Some(read.position);
-                take_endpoints(&node, read, sent_ms);
+                apply_endpoints(&node, read, sent_ms);
                 ENDPOINTS_PAUSE_MS
             }
             Err(FeedFailure::HistoryGone) => {
@@ -135,7 +135,7 @@
                 0
             }
             Err(failure) => {
-                store_failed(&node, &failure, "endpoints");
+                record_store_failure(&node, &failure, "endpoints");
                 if matches!(failure, FeedFailure::Malformed(_)) {
                     position = None;
                 }
@@ -147,7 +147,7 @@
 }
 
 /// Takes a read of the endpoint list, and has peers told if it brought anything.
-fn take_endpoints<A>(node: &Node<A>, read: FeedRead<ListingRead>, sent_ms: u64)
+fn apply_endpoints<A>(node: &Node<A>, read: FeedRead<ListingRead>, sent_ms: u64)
 where
     A: Adapter,
 {
@@ -162,13 +162,13 @@
         now_ms,
     );
     node.update_informed();
-    node.fleet_changed(&applied.changes);
+    node.apply_list_changes(&applied.changes);
     if applied.must_notify_peers {
         node.request_heartbeat();
     }
 }
 
-fn store_failed<A>(node: &Node<A>, failure: &FeedFailure, feed: &str)
+fn record_store_failure<A>(node: &Node<A>, failure: &FeedFailure, feed: &str)
 where
     A: Adapter,
 {
@@ -180,7 +180,7 @@
     node.counters.count("relay.store.failures");
 }
 
-fn store_answered<A>(node: &Node<A>)
+fn record_store_answer<A>(node: &Node<A>)
 where
     A: Adapter,
 {
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -28,11 +28,11 @@
 /// Part of a planned stop's time in which every request is still taken: a stream lasts 3 s as a rule
 /// and 7 s at most, and callers that were told of this instance come for some seconds yet. Plain
 /// requests are taken for as long as their route's timeout fits.
-const OPEN_PERCENT: u64 = 30;
+const STOP_ACCEPT_PERCENT: u64 = 30;
 /// Time of a planned stop kept in hand behind the last request that is taken.
 const STOP_RESERVE_MS: u64 = 800;
 /// Patience of a caller that does not say how long it will wait: no shorter than any route's.
-const DEFAULT_PATIENCE_MS: u64 = 60_000;
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
 /// Counts a caller's request while it has no whole answer.
 pub(crate) struct OpenRequest<A> {
@@ -60,7 +60,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn answer<A>(node: Rc<Node<A>>, request: Request) -> Response<BoxBody>
+pub(crate) async fn handle_request<A>(node: Rc<Node<A>>, request: Request) -> Response<BoxBody>
 where
     A: Adapter,
 {
@@ -77,7 +77,7 @@
 }
 
 /// Answers for the page of counters.
-pub(crate) fn metrics<A>(node: &Node<A>) -> Response<BoxBody> {
+pub(crate) fn metrics_page<A>(node: &Node<A>) -> Response<BoxBody> {
     node.counters
         .gauge("relay.open_requests", node.open_requests.get());
     Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
@@ -109,7 +109,7 @@
     A: Adapter,
 {
     let arrived_ms = boot_ms();
-    node.await_informed(arrived_ms).await;
+    node.wait_until_informed(arrived_ms).await;
     let Some(table) = node.routes() else {
         return refuse(node, "", None, RefusalCause::NoTable);
     };
@@ -126,7 +126,7 @@
         Ok(body) => body,
         Err(status) => return status_response(node, status),
     };
-    let digest = node.digest(&RequestParts {
+    let digest = node.request_digest(&RequestParts {
         account: resolved.account.as_ref(),
         method: request.method().as_str(),
         host: host_of(request.head()),
@@ -142,7 +142,7 @@
         ..resolved
     };
     node.count_request(&relayed.service);
-    note_ages(node, arrived_ms);
+    record_ages(node, arrived_ms);
     if node.quarantine_status(digest) == QuarantineStatus::Withheld {
         return refuse(
             node,
@@ -170,7 +170,7 @@
 }
 
 /// Notes how old what a request was decided by is.
-fn note_ages<A>(node: &Node<A>, now_ms: u64) {
+fn record_ages<A>(node: &Node<A>, now_ms: u64) {
     let table_age_ms = node.table.borrow().age_ms(now_ms);
     let list_age_ms = node.fleet.borrow().age_ms(now_ms);
     node.counters.time_ms("relay.table_age", table_age_ms);
@@ -209,7 +209,7 @@
             RefusalCause::OldTable,
         )));
     }
-    if is_late_to_begin(node, &route, now_ms) {
+    if is_too_late_to_start(node, &route, now_ms) {
         return Err(Box::new(refuse(
             node,
             &ask.id,
@@ -217,7 +217,7 @@
             RefusalCause::Stopping,
         )));
     }
-    let Some(service) = route.pick_service(node.draw()).cloned() else {
+    let Some(service) = route.pick_service(node.random_u64()).cloned() else {
         return Err(Box::new(refuse(
             node,
             &ask.id,
@@ -225,13 +225,13 @@
             RefusalCause::NoEndpoint,
         )));
     };
-    let patience_ms = ask.timeout_ms.unwrap_or(DEFAULT_PATIENCE_MS);
+    let patience_ms = ask.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     Ok(RelayedRequest {
         table: Rc::clone(table),
         account: resolved.account.map(|account| account.name.clone()),
         priority: resolved.priority(),
         service,
-        head: headers::request_head(head),
+        head: headers::forwarded_request_head(head),
         body: Bytes::new(),
         digest: None,
         arrived_ms: now_ms,
@@ -242,12 +242,12 @@
 }
 
 /// Whether so little of a planned stop is left that a request might be cut off.
-fn is_late_to_begin<A>(node: &Node<A>, route: &Route, now_ms: u64) -> bool {
+fn is_too_late_to_start<A>(node: &Node<A>, route: &Route, now_ms: u64) -> bool {
     let Some(since_ms) = node.stopping_since_ms.get() else {
         return false;
     };
     let limit_ms = node.settings.bounds.stop_limit_ms;
-    let any_ms = limit_ms * OPEN_PERCENT / 100;
+    let any_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
     let open_ms = if route.repeat.is_stream() {
         any_ms
     } else {
--- a/src/relay_server/headers.rs
+++ b/src/relay_server/headers.rs
@@ -4,7 +4,7 @@
 use actix_http::{RequestHead, ResponseHead};
 
 /// Headers that are never passed on: they belong to a connection or to the framing of a body.
-const OF_ONE_CONNECTION: [HeaderName; 10] = [
+const HOP_BY_HOP: [HeaderName; 10] = [
     header::CONNECTION,
     header::CONTENT_LENGTH,
     header::EXPECT,
@@ -17,8 +17,8 @@
     header::DATE,
 ];
 
-fn is_passed_on(name: &HeaderName, named: &[String]) -> bool {
-    !OF_ONE_CONNECTION.contains(name)
+fn is_end_to_end(name: &HeaderName, named: &[String]) -> bool {
+    !HOP_BY_HOP.contains(name)
         && name.as_str() != "keep-alive"
         && name.as_str() != "proxy-connection"
         && !named.iter().any(|it| it == name.as_str())
@@ -39,7 +39,7 @@
     let named = named_by_connection(headers);
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        if is_passed_on(name, &named) {
+        if is_end_to_end(name, &named) {
             kept.append(name.clone(), value.clone());
         }
     }
@@ -47,7 +47,7 @@
 }
 
 /// The head of a request as it is passed on; the adapter sets its own headers on it.
-pub(crate) fn request_head(head: &RequestHead) -> RequestHead {
+pub(crate) fn forwarded_request_head(head: &RequestHead) -> RequestHead {
     let mut sent = RequestHead::default();
     sent.method = head.method.clone();
     sent.uri = head.uri.clone();
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -194,7 +194,7 @@
     }
 
     /// By what a request is known when it comes again; `None` as long as the key is not known.
-    pub(crate) fn digest(&self, parts: &RequestParts<'_>) -> Option<RequestDigest> {
+    pub(crate) fn request_digest(&self, parts: &RequestParts<'_>) -> Option<RequestDigest> {
         let key = self.digest_key.borrow();
         key.as_ref()?.digest(parts)
     }
@@ -271,12 +271,12 @@
             other_instances_serve: self.peers.borrow().has_ready_peer(boot_ms()),
             load_ms,
             run_ms,
-            random: self.draw(),
+            random: self.random_u64(),
         }
     }
 
     /// A number drawn evenly from all of `u64`.
-    pub(crate) fn draw(&self) -> u64 {
+    pub(crate) fn random_u64(&self) -> u64 {
         rand::rng().random()
     }
 
@@ -287,7 +287,7 @@
             .borrow_mut()
             .record_failure(endpoint, trouble, boot_ms());
         if is_out {
-            self.left_out(endpoint, trouble);
+            self.handle_exclusion(endpoint, trouble);
         }
     }
 
@@ -299,7 +299,7 @@
             .get_mut(endpoint)
             .is_some_and(|known| known.record_unanswered(asked_ms, boot_ms()));
         if is_out {
-            self.left_out(endpoint, EndpointFailure::Unreachable);
+            self.handle_exclusion(endpoint, EndpointFailure::Unreachable);
         }
     }
 
@@ -311,7 +311,7 @@
             .map_or(0, |known| known.last_heard.at_ms())
     }
 
-    fn left_out(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
+    fn handle_exclusion(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
         let now_ms = boot_ms();
         let ago = |at_ms: u64| now_ms.saturating_sub(at_ms);
         let (asked_ms, heard_ms) = {
@@ -329,7 +329,7 @@
         );
         self.counters.count("relay.endpoints.left_out");
         if trouble.loses_requests() {
-            self.unsound(endpoint);
+            self.announce_unsound(endpoint);
         }
     }
 
@@ -398,7 +398,7 @@
     }
 
     /// Tells streams and peers that an endpoint is unsound.
-    fn unsound(&self, endpoint: &EndpointId) {
+    fn announce_unsound(&self, endpoint: &EndpointId) {
         if let Some(known) = self.fleet.borrow().get(endpoint) {
             self.upstreams.discard(known.listed.address);
         }
@@ -417,7 +417,7 @@
 
     /// Acts on what a read of the endpoint list has changed. Peers are told what the list shows, not
     /// what is made of a lapse: each sees by itself when an entry is back.
-    pub(crate) fn fleet_changed(&self, changes: &[FleetChange]) {
+    pub(crate) fn apply_list_changes(&self, changes: &[FleetChange]) {
         self.apply_changes(changes);
         let mut peers = self.peers.borrow_mut();
         for change in changes {
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -101,7 +101,7 @@
         if permit == Permit::Missing {
             return Err(UpstreamFailure::Withdrawn);
         }
-        let may_send = || may_send() && self.keeps_permit(endpoint, permit);
+        let may_send = || may_send() && self.renew_permit(endpoint, permit);
         let sent = self
             .upstreams
             .send(address, head, body, boot_ms(), may_send)
@@ -115,16 +115,16 @@
 
     fn take_permit(&self, endpoint: &EndpointId) -> Permit {
         let mut fleet = self.fleet.borrow_mut();
-        self.count_missing(fleet.pacing.acquire_permit(endpoint, boot_ms()))
+        self.count_missing_permit(fleet.pacing.acquire_permit(endpoint, boot_ms()))
     }
 
-    fn keeps_permit(&self, endpoint: &EndpointId, permit: Permit) -> bool {
+    fn renew_permit(&self, endpoint: &EndpointId, permit: Permit) -> bool {
         let mut fleet = self.fleet.borrow_mut();
         let renewed = fleet.pacing.recheck_permit(endpoint, permit, boot_ms());
-        self.count_missing(renewed) != Permit::Missing
+        self.count_missing_permit(renewed) != Permit::Missing
     }
 
-    fn count_missing(&self, permit: Permit) -> Permit {
+    fn count_missing_permit(&self, permit: Permit) -> Permit {
         if permit == Permit::Missing {
             self.counters.count("relay.pacing.no_permit");
         }
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -8,7 +8,7 @@
 use super::adapter::Adapter;
 use super::node::Node;
 use super::records::REGISTER_TIMEOUT_MS;
-use super::withholding::FROM_STORE;
+use super::withholding::SOURCE_STORE;
 use crate::clients::{TableFailure, TableService};
 use crate::clock::{boot_ms, unix_ms};
 use crate::ids::EndpointId;
@@ -45,7 +45,7 @@
     if node.digest_key.borrow().is_some() {
         return true;
     }
-    let key = match read(node).await {
+    let key = match load_rows(node).await {
         Ok(key) => key,
         Err(failure) => {
             log::warn!(failure:% = failure; "the key of request digests was not read");
@@ -62,7 +62,7 @@
     true
 }
 
-async fn read<A>(node: &Rc<Node<A>>) -> Result<Option<DigestKey>, TableFailure>
+async fn load_rows<A>(node: &Rc<Node<A>>) -> Result<Option<DigestKey>, TableFailure>
 where
     A: Adapter,
 {
@@ -72,23 +72,23 @@
         limit: ROWS_LIMIT,
     };
     let found = node.adapter.store().scan(&ask, REGISTER_TIMEOUT_MS).await?;
-    let deaths: Vec<CrashReport> = found.rows.iter().flat_map(deaths_in).collect();
+    let deaths: Vec<CrashReport> = found.rows.iter().flat_map(crashes_from_row).collect();
     let told = EvidenceReport {
         crashes: deaths,
         ..EvidenceReport::default()
     };
-    node.apply_evidence(&told, FROM_STORE, boot_ms());
+    node.apply_evidence(&told, SOURCE_STORE, boot_ms());
     match found.rows.iter().find(|row| row.key == KEY_ROW) {
-        Some(row) => Ok(key_in(row)),
-        None => write_key(node).await,
+        Some(row) => Ok(key_from_row(row)),
+        None => create_key(node).await,
     }
 }
 
-async fn write_key<A>(node: &Node<A>) -> Result<Option<DigestKey>, TableFailure>
+async fn create_key<A>(node: &Node<A>) -> Result<Option<DigestKey>, TableFailure>
 where
     A: Adapter,
 {
-    let drawn = DigestKey::draw(&mut rand::rng());
+    let drawn = DigestKey::generate(&mut rand::rng());
     let transaction = Transaction {
         conditions: vec![Condition::BeAbsent {
             key: KEY_ROW.to_owned(),
@@ -103,16 +103,16 @@
     Ok(match reply {
         TransactReply::Committed { .. } => Some(drawn),
         // Another instance was first; all must use the same key.
-        TransactReply::Conflict { rows } => rows.first().and_then(key_in),
+        TransactReply::Conflict { rows } => rows.first().and_then(key_from_row),
     })
 }
 
-fn key_in(row: &Row) -> Option<DigestKey> {
+fn key_from_row(row: &Row) -> Option<DigestKey> {
     DigestKey::from_hex(&row.value)
 }
 
 /// The evidence in a withheld request's row; none in other rows.
-fn deaths_in(row: &Row) -> Vec<CrashReport> {
+fn crashes_from_row(row: &Row) -> Vec<CrashReport> {
     let Some(digest) = row.key.strip_prefix(WITHHELD_PREFIX) else {
         return Vec::new();
     };
@@ -134,7 +134,7 @@
 
 /// Has the store keep what is withheld, beside whatever else goes on. One instance does it for all; a
 /// write that is lost is missed only if all instances end at once.
-pub(super) fn keep_beside<A>(node: &Rc<Node<A>>, changes: &[QuarantineChange])
+pub(super) fn spawn_persist<A>(node: &Rc<Node<A>>, changes: &[QuarantineChange])
 where
     A: Adapter,
 {
@@ -142,7 +142,7 @@
     if !is_first || !node.availability().reaches_store {
         return;
     }
-    let writes: Vec<Write> = changes.iter().filter_map(write_of).collect();
+    let writes: Vec<Write> = changes.iter().filter_map(write_for).collect();
     let node = Rc::clone(node);
     actix_rt::spawn(async move {
         let transaction = Transaction {
@@ -156,7 +156,7 @@
     });
 }
 
-fn write_of(change: &QuarantineChange) -> Option<Write> {
+fn write_for(change: &QuarantineChange) -> Option<Write> {
     let key = |digest: &RequestDigest| format!("{WITHHELD_PREFIX}{}", digest.to_hex());
     match change {
         QuarantineChange::Withheld(digest, endpoints) => {
@@ -170,6 +170,6 @@
                 value,
             })
         }
-        QuarantineChange::Free(digest) => Some(Write::Delete { key: key(digest) }),
+        QuarantineChange::Released(digest) => Some(Write::Delete { key: key(digest) }),
     }
 }
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -60,7 +60,7 @@
         let pause_ms = match (is_done, node.reads_store()) {
             (true, true) => RECORDS_PAUSE_MS,
             (true, false) => RARE_RECORDS_PAUSE_MS,
-            (false, _) => retry_ms(failures, node.draw()),
+            (false, _) => retry_ms(failures, node.random_u64()),
         };
         sleep(Duration::from_millis(pause_ms)).await;
     }
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -24,7 +24,7 @@
 const BACKLOG: u32 = 1_024;
 /// How long an idle caller's connection is kept. Callers use theirs again for up to four fifths of
 /// the operator's limit, which is far below and may change while the connection is open.
-const CALLER_IDLE: Duration = Duration::from_secs(120);
+const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(120);
 /// Longest time for a request's head to arrive.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Pause between two sweeps of idle connections and pauses of endpoints.
@@ -32,7 +32,7 @@
 /// Pause between two questions to an engine that was slow.
 const SLOW_CHECK_MS: u64 = 1_000;
 /// Pause between two looks at whether a stop is complete.
-const STOP_LOOK_MS: u64 = 50;
+const STOP_POLL_MS: u64 = 50;
 /// Part of the stop's time kept in hand for the end of the process.
 const STOP_MARGIN_MS: u64 = 300;
 
@@ -79,7 +79,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            _ = hangup.recv() => reloaded(&node.settings, reload()),
+            _ = hangup.recv() => log_reload(&node.settings, reload()),
         }
     }
     Ok(stop(&node).await)
@@ -87,7 +87,7 @@
 
 /// Says what came of settings that were read again. Addresses and names hold for the life of the
 /// process, so only a restart puts changes in force.
-fn reloaded(held: &RelaySettings, read: Option<RelaySettings>) {
+fn log_reload(held: &RelaySettings, read: Option<RelaySettings>) {
     match read {
         Some(read) if read == *held => log::info!("settings were read again; nothing has changed"),
         Some(_) => log::info!("settings have changed; they are in force from the next start"),
@@ -104,14 +104,14 @@
     addresses.extend(&settings.local_page_addresses);
     for address in addresses {
         let listener = listen(address)?;
-        actix_rt::spawn(serve(Rc::clone(node), listener, Page::Front));
+        actix_rt::spawn(serve(Rc::clone(node), listener, ListenerKind::Front));
     }
     if let Some(address) = settings.metrics {
         let listener = listen(address)?;
-        actix_rt::spawn(serve(Rc::clone(node), listener, Page::Metrics));
+        actix_rt::spawn(serve(Rc::clone(node), listener, ListenerKind::Metrics));
     }
     let listener = listen(settings.peers)?;
-    actix_rt::spawn(serve(Rc::clone(node), listener, Page::Peers));
+    actix_rt::spawn(serve(Rc::clone(node), listener, ListenerKind::Peers));
     let socket = UdpSocket::bind(settings.peers).await;
     let socket = socket.map_err(|cause| RelayStartError::Listen {
         address: settings.peers,
@@ -131,7 +131,7 @@
 
 /// What a listener answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Page {
+enum ListenerKind {
     Front,
     Metrics,
     Peers,
@@ -147,7 +147,7 @@
     listener().map_err(|cause| RelayStartError::Listen { address, cause })
 }
 
-async fn serve<A>(node: Rc<Node<A>>, listener: TcpListener, page: Page)
+async fn serve<A>(node: Rc<Node<A>>, listener: TcpListener, page: ListenerKind)
 where
     A: Adapter,
 {
@@ -155,9 +155,9 @@
         let node = Rc::clone(&node);
         async move {
             let response = match page {
-                Page::Front => front::answer(node, request).await,
-                Page::Metrics => front::metrics(&node),
-                Page::Peers => {
+                ListenerKind::Front => front::handle_request(node, request).await,
+                ListenerKind::Metrics => front::metrics_page(&node),
+                ListenerKind::Peers => {
                     let query = request.uri().query().unwrap_or("");
                     snapshot::respond(&node, query, request.peer_addr())
                 }
@@ -166,7 +166,7 @@
         }
     });
     let factory = HttpService::build()
-        .keep_alive(KeepAlive::Timeout(CALLER_IDLE))
+        .keep_alive(KeepAlive::Timeout(CALLER_IDLE_TIMEOUT))
         .client_request_timeout(HEAD_TIMEOUT)
         // A caller that closes its side has left: its request is dropped with all that it holds.
         .h1_allow_half_closed(false)
@@ -230,7 +230,7 @@
     let linger_ms = bounds.locate_lifetime_ms + 500;
     let end_ms = since_ms + bounds.stop_limit_ms.saturating_sub(STOP_MARGIN_MS);
     loop {
-        sleep(Duration::from_millis(STOP_LOOK_MS)).await;
+        sleep(Duration::from_millis(STOP_POLL_MS)).await;
         let now_ms = boot_ms();
         let open = node.open_requests.get();
         let is_idle = open == 0 && now_ms >= since_ms + linger_ms;
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -262,7 +262,7 @@
         is_fed: node.receives_store_updates(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
-    let draw = node.draw();
+    let draw = node.random_u64();
     let begun = PartialFetches {
         document: parts.document.version(),
         list_provider: parts.list.giver(),
--- a/src/relay_server/start_wait.rs
+++ b/src/relay_server/start_wait.rs
@@ -7,7 +7,7 @@
 use super::node::Node;
 
 /// How long a process counts as just started. After that, what it lacks is not there in a moment.
-const STARTING_MS: u64 = 1_000;
+const STARTUP_MS: u64 = 1_000;
 /// Longest wait of a request for the routes and the endpoints at a process that has just started. It has
 /// them sooner as a rule, also when all have started at once; a caller that is sent away instead comes
 /// back long after its answer was due.
@@ -27,9 +27,9 @@
     }
 
     /// Waits for the routes and the endpoints where the process has just started and has them in a moment.
-    pub(crate) async fn await_informed(&self, now_ms: u64) {
+    pub(crate) async fn wait_until_informed(&self, now_ms: u64) {
         let mut informed = self.informed.subscribe();
-        if *informed.borrow() || now_ms >= self.started_ms + STARTING_MS {
+        if *informed.borrow() || now_ms >= self.started_ms + STARTUP_MS {
             return;
         }
         let limit = Duration::from_millis(START_WAIT_MS);
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -14,14 +14,14 @@
 
 /// How the endpoint ends the connection after its bytes.
 #[derive(Clone, Copy)]
-enum End {
+enum ConnectionEnd {
     Close,
     Reset,
     KeepOpen,
 }
 
 /// An endpoint that answers each connection with these bytes.
-fn endpoint(answer: &'static [u8], end: End) -> SocketAddr {
+fn endpoint(answer: &'static [u8], end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
@@ -30,7 +30,7 @@
             let mut stream = stream.expect("a connection comes");
             let mut request = [0; 4_096];
             // A reset is made by closing with a byte that was not read.
-            let read = if matches!(end, End::Reset) {
+            let read = if matches!(end, ConnectionEnd::Reset) {
                 10
             } else {
                 request.len()
@@ -38,12 +38,12 @@
             let _ = stream.read(&mut request[..read]);
             stream.write_all(answer).expect("the router reads");
             match end {
-                End::Close => drop(stream.shutdown(Shutdown::Both)),
-                End::Reset => {
+                ConnectionEnd::Close => drop(stream.shutdown(Shutdown::Both)),
+                ConnectionEnd::Reset => {
                     thread::sleep(std::time::Duration::from_millis(30));
                     drop(stream);
                 }
-                End::KeepOpen => kept.push(stream),
+                ConnectionEnd::KeepOpen => kept.push(stream),
             }
         }
     });
@@ -51,7 +51,7 @@
 }
 
 /// The body, if it is whole; and whether a second request would go over the same connection.
-async fn fetch(answer: &'static [u8], end: End) -> Result<Vec<u8>, UpstreamFailure> {
+async fn fetch(answer: &'static [u8], end: ConnectionEnd) -> Result<Vec<u8>, UpstreamFailure> {
     let address = endpoint(answer, end);
     let upstreams = UpstreamPool::new();
     let head = RequestHead::default();
@@ -70,14 +70,20 @@
 #[actix_rt::test]
 async fn an_answer_is_whole_at_its_announced_end() {
     let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
-    assert_eq!(fetch(sized, End::KeepOpen).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        fetch(sized, ConnectionEnd::KeepOpen).await,
+        Ok(b"hello".to_vec())
+    );
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
-    assert_eq!(fetch(chunked, End::KeepOpen).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        fetch(chunked, ConnectionEnd::KeepOpen).await,
+        Ok(b"hello".to_vec())
+    );
 }
 
 #[actix_rt::test]
 async fn an_answer_that_ends_before_its_announced_end_is_broken() {
-    for end in [End::Close, End::Reset] {
+    for end in [ConnectionEnd::Close, ConnectionEnd::Reset] {
         let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello";
         assert_eq!(fetch(sized, end).await, Err(UpstreamFailure::Broken));
         let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
@@ -88,23 +94,29 @@
 #[actix_rt::test]
 async fn an_answer_without_length_ends_with_its_connection_unless_that_is_reset() {
     let open = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello";
-    assert_eq!(fetch(open, End::Close).await, Ok(b"hello".to_vec()));
-    assert_eq!(fetch(open, End::Reset).await, Err(UpstreamFailure::Broken));
+    assert_eq!(
+        fetch(open, ConnectionEnd::Close).await,
+        Ok(b"hello".to_vec())
+    );
+    assert_eq!(
+        fetch(open, ConnectionEnd::Reset).await,
+        Err(UpstreamFailure::Broken)
+    );
 }
 
 #[actix_rt::test]
 async fn what_is_no_answer_is_told_from_a_broken_one() {
     assert_eq!(
-        fetch(b"\x00\x01 no answer\r\n\r\n", End::KeepOpen).await,
+        fetch(b"\x00\x01 no answer\r\n\r\n", ConnectionEnd::KeepOpen).await,
         Err(UpstreamFailure::Garbled)
     );
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!";
     assert_eq!(
-        fetch(twice, End::KeepOpen).await,
+        fetch(twice, ConnectionEnd::KeepOpen).await,
         Err(UpstreamFailure::Garbled)
     );
     assert_eq!(
-        fetch(b"HTTP/1.1 200", End::Close).await,
+        fetch(b"HTTP/1.1 200", ConnectionEnd::Close).await,
         Err(UpstreamFailure::Broken)
     );
 }
@@ -112,7 +124,7 @@
 #[actix_rt::test]
 async fn a_connection_with_bytes_of_no_request_is_not_used_again() {
     let extra = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n";
-    let address = endpoint(extra, End::KeepOpen);
+    let address = endpoint(extra, ConnectionEnd::KeepOpen);
     let upstreams = UpstreamPool::new();
     for _ in 0..2 {
         let exchange = upstreams
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -14,13 +14,13 @@
 };
 
 /// Evidence that rows of the store have told.
-pub(super) const FROM_STORE: &str = "store";
+pub(super) const SOURCE_STORE: &str = "store";
 /// Evidence that peers have told.
 pub(super) const SOURCE_PEERS: &str = "peers";
 /// Evidence of runs of this instance.
-const FROM_OWN_RUNS: &str = "own runs";
+const SOURCE_OWN_RUNS: &str = "own runs";
 /// What was under way from an endpoint when a connection to it broke may be read so much later.
-const UNDER_WAY_MS: u64 = 50;
+const IN_TRANSIT_MS: u64 = 50;
 
 impl<A> Node<A>
 where
@@ -61,7 +61,7 @@
     pub(crate) fn clear_request(self: &Rc<Self>, digest: Option<RequestDigest>) {
         let Some(digest) = digest else { return };
         let changes = self.quarantine.borrow_mut().clear(digest, boot_ms());
-        self.take_quarantine_changes(&changes, FROM_OWN_RUNS);
+        self.apply_quarantine_changes(&changes, SOURCE_OWN_RUNS);
     }
 
     /// Takes what peers, or rows of the store, tell of requests under suspicion.
@@ -81,7 +81,7 @@
             .quarantine
             .borrow_mut()
             .apply_report(told, relays, now_ms);
-        self.take_quarantine_changes(&changes, source);
+        self.apply_quarantine_changes(&changes, source);
     }
 
     /// Looks what has become of endpoints at which runs broke off.
@@ -90,16 +90,17 @@
         let (changes, has_news) = {
             let fleet = self.fleet.borrow();
             let mut quarantine = self.quarantine.borrow_mut();
-            let changes = quarantine.update(now_ms, |id, broke_ms| fate(&fleet, id, broke_ms));
+            let changes =
+                quarantine.update(now_ms, |id, broke_ms| endpoint_fate(&fleet, id, broke_ms));
             (changes, quarantine.has_unsent_updates())
         };
         if has_news {
             self.request_heartbeat();
         }
-        self.take_quarantine_changes(&changes, FROM_OWN_RUNS);
+        self.apply_quarantine_changes(&changes, SOURCE_OWN_RUNS);
     }
 
-    fn take_quarantine_changes(self: &Rc<Self>, changes: &[QuarantineChange], source: &str) {
+    fn apply_quarantine_changes(self: &Rc<Self>, changes: &[QuarantineChange], source: &str) {
         if changes.is_empty() {
             return;
         }
@@ -115,7 +116,7 @@
                     );
                     self.counters.count("relay.quarantine.withheld");
                 }
-                QuarantineChange::Free(digest) => {
+                QuarantineChange::Released(digest) => {
                     log::info!(digest:% = digest, source; "request is not withheld any more");
                     self.counters.count("relay.quarantine.freed");
                 }
@@ -125,15 +126,15 @@
         self.counters
             .gauge("relay.quarantine.withheld_now", count as u64);
         // What the store has told it has.
-        if source != FROM_STORE {
-            quarantine_rows::keep_beside(self, changes);
+        if source != SOURCE_STORE {
+            quarantine_rows::spawn_persist(self, changes);
         }
         self.wake_streams();
     }
 }
 
 /// What has become of an endpoint since a run broke off there.
-fn fate(fleet: &Fleet, id: &EndpointId, broke_ms: u64) -> EndpointLiveness {
+fn endpoint_fate(fleet: &Fleet, id: &EndpointId, broke_ms: u64) -> EndpointLiveness {
     if fleet.has_ended(id) {
         return EndpointLiveness::Ended;
     }
@@ -141,7 +142,7 @@
         // It was in service when the run broke off, and neither drained nor answered since.
         None => EndpointLiveness::Ended,
         Some(known) if known.listed.phase == Phase::Leaving => EndpointLiveness::Ended,
-        Some(known) if known.last_heard.at_ms() > broke_ms + UNDER_WAY_MS => {
+        Some(known) if known.last_heard.at_ms() > broke_ms + IN_TRANSIT_MS => {
             EndpointLiveness::Alive
         }
         Some(_) => EndpointLiveness::Unknown,
