--- a/src/quarantine/digest_tests.rs
+++ b/src/quarantine/digest_tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_request_is_the_same_by_account_path_and_body() {
+fn a_digest_covers_account_path_and_body() {
     let digest = digest_of(Some("lac-bistro"), "/draft/x?a=1", b"{\"a\": 1}");
     assert_eq!(
         digest,
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_digest_says_nothing_to_those_without_the_key() {
+fn a_digest_depends_on_a_secret_key() {
     let parts = RequestParts {
         account: None,
         method: "POST",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn keys_and_digests_are_read_as_they_were_written() {
+fn keys_and_digests_round_trip() {
     assert_eq!(DigestKey::from_hex(&key(1).to_hex()), Some(key(1)));
     assert_eq!(DigestKey::from_hex("abcd"), None);
     let digest = digest_of(None, "/", b"");
--- a/src/quarantine/false_positive_tests.rs
+++ b/src/quarantine/false_positive_tests.rs
@@ -23,28 +23,28 @@
     /// Requests per second.
     rate: f64,
     /// Interval between failures.
-    trouble_every_ms: u64,
+    failure_interval_ms: u64,
     /// Share of the popular request in all requests.
-    popular: f64,
+    popular_share: f64,
     /// When the failures begin.
-    trouble_from_ms: u64,
+    failures_from_ms: u64,
     /// Interval of the crashing request, from 4 s on; `None` if it is not sent.
-    crashing_every_ms: Option<u64>,
+    crashing_interval_ms: Option<u64>,
     /// Simulated time.
     run_ms: u64,
 }
 
 const STEP_MS: u64 = 10;
-const BEAT_MS: u64 = 250;
+const HEARTBEAT_MS: u64 = 250;
 /// Time from the start of a run to its response's head.
 const HEAD_MS: u64 = 80;
-const WHOLE_MS: u64 = 2_500;
+const RUN_MS: u64 = 2_500;
 /// Time from the termination of an endpoint to its restart.
-const AWAY_MS: u64 = 4_000;
+const DOWN_MS: u64 = 4_000;
 /// Time from the response's head of the crashing request to the crash of its endpoint.
 const CRASH_MS: u64 = 60;
 /// Maximum number of runs of a request, one after another.
-const MOST_RUNS: u32 = 8;
+const MAX_RUNS: u32 = 8;
 
 struct Run {
     request: u64,
@@ -62,12 +62,12 @@
     popular_withheld: u64,
     others_withheld: u64,
     /// Endpoints that the crashing request crashed.
-    ended: usize,
+    crashed: usize,
     /// Those that crashed more than three seconds after the third.
-    ended_late: usize,
+    crashed_late: usize,
 }
 
-struct World {
+struct Simulation {
     site: Site,
     rng: SmallRng,
     now_ms: u64,
@@ -75,17 +75,17 @@
     /// Until when each endpoint is down, and how often it has terminated, which numbers its lifetime.
     endpoints: Vec<(u64, usize)>,
     runs: Vec<Run>,
-    told: Vec<(u64, usize, EvidenceReport)>,
+    in_transit: Vec<(u64, usize, EvidenceReport)>,
     next_request: u64,
     crashes: Vec<u64>,
     outcome: Outcome,
 }
 
-fn name(at: usize, lifetime: usize) -> EndpointId {
+fn endpoint_id(at: usize, lifetime: usize) -> EndpointId {
     endpoint(at * 10_000 + lifetime)
 }
 
-impl World {
+impl Simulation {
     fn new(site: Site, seed: u64) -> Self {
         Self {
             site,
@@ -94,59 +94,59 @@
             instances: (0..site.instances).map(|_| Quarantine::default()).collect(),
             endpoints: vec![(0, 0); site.endpoints],
             runs: Vec::new(),
-            told: Vec::new(),
+            in_transit: Vec::new(),
             next_request: FIRST_OTHER,
             crashes: Vec::new(),
             outcome: Outcome::default(),
         }
     }
 
-    fn play(mut self) -> Outcome {
+    fn run(mut self) -> Outcome {
         while self.now_ms < self.site.run_ms {
             self.now_ms += STEP_MS;
-            self.arrive();
+            self.submit_new();
             self.advance();
-            let is_due = self.now_ms.is_multiple_of(self.site.trouble_every_ms);
-            if is_due && self.now_ms >= self.site.trouble_from_ms {
-                self.trouble();
+            let is_due = self.now_ms.is_multiple_of(self.site.failure_interval_ms);
+            if is_due && self.now_ms >= self.site.failures_from_ms {
+                self.inject_failure();
             }
-            self.talk();
+            self.exchange_heartbeats();
         }
-        self.outcome.ended = self.crashes.len();
+        self.outcome.crashed = self.crashes.len();
         if let Some(third_ms) = self.crashes.get(2) {
             let late = self.crashes.iter().filter(|at| **at > third_ms + 3_000);
-            self.outcome.ended_late = late.count();
+            self.outcome.crashed_late = late.count();
         }
         self.outcome
     }
 
-    fn arrive(&mut self) {
+    fn submit_new(&mut self) {
         let mut count = self.site.rate * STEP_MS as f64 / 1_000.0;
         while count > 0.0 && self.rng.random_bool(count.min(1.0)) {
             count -= 1.0;
-            let request = if self.rng.random_bool(self.site.popular) {
+            let request = if self.rng.random_bool(self.site.popular_share) {
                 POPULAR
             } else {
                 self.next_request += 1;
                 self.next_request
             };
             self.outcome.requests += 1;
-            self.come(request);
+            self.submit(request);
         }
-        let due = self.site.crashing_every_ms;
-        if due.is_some_and(|every| self.now_ms > 4_000 && self.now_ms.is_multiple_of(every)) {
-            self.come(CRASHING);
+        let interval = self.site.crashing_interval_ms;
+        if interval.is_some_and(|every| self.now_ms > 4_000 && self.now_ms.is_multiple_of(every)) {
+            self.submit(CRASHING);
         }
     }
 
-    fn come(&mut self, request: u64) {
+    fn submit(&mut self, request: u64) {
         let instance = self.rng.random_range(0..self.site.instances);
         self.send(request, instance, 0);
     }
 
     fn send(&mut self, request: u64, instance: usize, runs: u32) {
-        let doubt = self.instances[instance].status(&digest(request), self.now_ms);
-        if doubt != QuarantineStatus::Allowed {
+        let status = self.instances[instance].status(&digest(request), self.now_ms);
+        if status != QuarantineStatus::Allowed {
             match request {
                 POPULAR => self.outcome.popular_withheld += 1,
                 CRASHING => {}
@@ -155,8 +155,8 @@
             return;
         }
         let now_ms = self.now_ms;
-        let living = (0..self.endpoints.len()).filter(|at| self.endpoints[*at].0 <= now_ms);
-        let Some(at) = living.choose(&mut self.rng) else {
+        let alive = (0..self.endpoints.len()).filter(|at| self.endpoints[*at].0 <= now_ms);
+        let Some(at) = alive.choose(&mut self.rng) else {
             return;
         };
         self.runs.push(Run {
@@ -177,7 +177,7 @@
                 self.instances[run.instance].clear(digest(run.request), now_ms);
             }
         }
-        let is_whole = |run: &mut Run| run.request != CRASHING && now_ms >= run.since_ms + WHOLE_MS;
+        let is_whole = |run: &mut Run| run.request != CRASHING && now_ms >= run.since_ms + RUN_MS;
         for run in self.runs.extract_if(.., is_whole) {
             self.instances[run.instance].clear(digest(run.request), now_ms);
         }
@@ -185,23 +185,23 @@
             |run: &&Run| run.request == CRASHING && now_ms >= run.since_ms + HEAD_MS + CRASH_MS;
         while let Some(at) = self.runs.iter().find(crashes).map(|run| run.at) {
             self.crashes.push(now_ms);
-            self.end(&[at]);
+            self.terminate(&[at]);
         }
     }
 
     /// Terminates endpoints independently of requests: one, about a seventh of all, or each with a
     /// probability of 1/4.
-    fn trouble(&mut self) {
+    fn inject_failure(&mut self) {
         let count = self.endpoints.len();
         let chosen: Vec<usize> = match self.rng.random_range(0..3) {
             0 => vec![self.rng.random_range(0..count)],
             1 => (0..count).sample(&mut self.rng, count / 7 + 1),
             _ => (0..count).filter(|_| self.rng.random_bool(0.25)).collect(),
         };
-        self.end(&chosen);
+        self.terminate(&chosen);
     }
 
-    fn end(&mut self, chosen: &[usize]) {
+    fn terminate(&mut self, chosen: &[usize]) {
         let now_ms = self.now_ms;
         let broken: Vec<Run> = self
             .runs
@@ -213,7 +213,7 @@
             let Some(stage) = RunStage::of_run(head_ago_ms) else {
                 continue;
             };
-            let id = name(run.at, self.endpoints[run.at].1);
+            let id = endpoint_id(run.at, self.endpoints[run.at].1);
             let own = &mut self.instances[run.instance];
             own.record_broken_run(digest(run.request), &id, stage, now_ms);
         }
@@ -221,10 +221,10 @@
             own.update(now_ms, |_, _| EndpointLiveness::Ended);
         }
         for at in chosen {
-            self.endpoints[*at] = (now_ms + AWAY_MS, self.endpoints[*at].1 + 1);
+            self.endpoints[*at] = (now_ms + DOWN_MS, self.endpoints[*at].1 + 1);
         }
         for run in broken {
-            if run.runs < MOST_RUNS {
+            if run.runs < MAX_RUNS {
                 self.send(run.request, run.instance, run.runs);
             }
         }
@@ -232,24 +232,27 @@
 
     /// Each instance sends a heartbeat to all others four times a second, with a delay of 5 to 300 ms and
     /// a loss of 3 %.
-    fn talk(&mut self) {
+    fn exchange_heartbeats(&mut self) {
         let now_ms = self.now_ms;
         for instance in 0..self.site.instances {
-            let phase_ms = (instance as u64 * STEP_MS) % BEAT_MS;
-            if now_ms % BEAT_MS != phase_ms / STEP_MS * STEP_MS {
+            let phase_ms = (instance as u64 * STEP_MS) % HEARTBEAT_MS;
+            if now_ms % HEARTBEAT_MS != phase_ms / STEP_MS * STEP_MS {
                 continue;
             }
-            let told = self.instances[instance].next_report(now_ms);
-            if !told.is_empty() {
+            let report = self.instances[instance].next_report(now_ms);
+            if !report.is_empty() {
                 let at_ms = now_ms + self.rng.random_range(5..300);
-                self.told.push((at_ms, instance, told));
+                self.in_transit.push((at_ms, instance, report));
             }
         }
-        let due: Vec<_> = self.told.extract_if(.., |it| it.0 <= now_ms).collect();
-        for (_, from, told) in due {
+        let due: Vec<_> = self
+            .in_transit
+            .extract_if(.., |it| it.0 <= now_ms)
+            .collect();
+        for (_, from, report) in due {
             for (instance, own) in self.instances.iter_mut().enumerate() {
                 if instance != from && !self.rng.random_bool(0.03) {
-                    own.apply_report(&told, false, now_ms);
+                    own.apply_report(&report, false, now_ms);
                 }
             }
         }
@@ -258,17 +261,17 @@
 
 /// Simulates a site with several seeds; `FESCUE_VERDICT_RUNS` overrides their number. Returns the sums
 /// of requests, and the maximum numbers of crashed endpoints in one simulation.
-fn play_all(site: Site, seeds: u64) -> Outcome {
+fn simulate(site: Site, seeds: u64) -> Outcome {
     let asked = std::env::var("FESCUE_VERDICT_RUNS").ok();
     let seeds = asked.and_then(|it| it.parse().ok()).unwrap_or(seeds);
     let mut all = Outcome::default();
     for seed in 0..seeds {
-        let outcome = World::new(site, seed).play();
+        let outcome = Simulation::new(site, seed).run();
         all.requests += outcome.requests;
         all.popular_withheld += outcome.popular_withheld;
         all.others_withheld += outcome.others_withheld;
-        all.ended = all.ended.max(outcome.ended);
-        all.ended_late = all.ended_late.max(outcome.ended_late);
+        all.crashed = all.crashed.max(outcome.crashed);
+        all.crashed_late = all.crashed_late.max(outcome.crashed_late);
     }
     println!("{site:?}: {all:?}");
     all
@@ -278,10 +281,10 @@
     instances: 9,
     endpoints: 38,
     rate: 80.0,
-    trouble_every_ms: 3_000,
-    popular: 0.4,
-    trouble_from_ms: 0,
-    crashing_every_ms: None,
+    failure_interval_ms: 3_000,
+    popular_share: 0.4,
+    failures_from_ms: 0,
+    crashing_interval_ms: None,
     run_ms: 60_000,
 };
 const MIDDLE: Site = Site {
@@ -304,55 +307,55 @@
 
 /// Asserts that at most one in a thousand requests of each kind is withheld wrongly, in deployments that
 /// lose up to a quarter of their endpoints every few seconds.
-fn assert_hardly_any_is_wrong(outcome: &Outcome) {
-    let most = outcome.requests / 1_000;
-    assert!(outcome.popular_withheld <= most, "{outcome:?}");
-    assert!(outcome.others_withheld <= most, "{outcome:?}");
+fn assert_few_false_positives(outcome: &Outcome) {
+    let max = outcome.requests / 1_000;
+    assert!(outcome.popular_withheld <= max, "{outcome:?}");
+    assert!(outcome.others_withheld <= max, "{outcome:?}");
 }
 
 #[test]
-fn requests_that_lose_endpoints_by_chance_are_not_withheld() {
+fn harmless_requests_are_not_withheld() {
     for (site, seeds) in SITES {
-        assert_hardly_any_is_wrong(&play_all(site, seeds));
+        assert_few_false_positives(&simulate(site, seeds));
     }
 }
 
 #[test]
-fn a_popular_request_is_not_withheld_though_endpoints_end_under_it_all_day() {
+fn a_popular_request_is_not_withheld_despite_frequent_crashes() {
     let site = Site {
-        popular: 0.95,
-        trouble_every_ms: 1_000,
-        trouble_from_ms: 2_000,
+        popular_share: 0.95,
+        failure_interval_ms: 1_000,
+        failures_from_ms: 2_000,
         ..SMALL
     };
-    assert_hardly_any_is_wrong(&play_all(site, 3));
+    assert_few_false_positives(&simulate(site, 3));
 }
 
 // Nothing is known about the request yet when many endpoints terminate at once; its runs elsewhere soon
 // clear it.
 #[test]
-fn a_popular_request_that_is_new_is_free_again_within_moments() {
+fn a_new_popular_request_is_released_within_a_second() {
     let site = Site {
-        popular: 0.95,
-        trouble_every_ms: 1_000,
+        popular_share: 0.95,
+        failure_interval_ms: 1_000,
         ..SMALL
     };
     let seeds = 3;
-    let outcome = play_all(site, seeds);
+    let outcome = simulate(site, seeds);
     let a_second_of_each = site.rate as u64 * seeds;
     assert!(outcome.popular_withheld <= a_second_of_each, "{outcome:?}");
 }
 
 #[test]
-fn a_crashing_request_is_found_among_others_and_those_beside_it_go_on() {
+fn a_crashing_request_is_withheld_without_harming_others() {
     for (site, seeds) in SITES {
         let site = Site {
-            crashing_every_ms: Some(700),
+            crashing_interval_ms: Some(700),
             ..site
         };
-        let outcome = play_all(site, seeds);
-        assert_hardly_any_is_wrong(&outcome);
-        assert!(outcome.ended >= 3, "{outcome:?}");
-        assert_eq!(outcome.ended_late, 0, "{outcome:?}");
+        let outcome = simulate(site, seeds);
+        assert_few_false_positives(&outcome);
+        assert!(outcome.crashed >= 3, "{outcome:?}");
+        assert_eq!(outcome.crashed_late, 0, "{outcome:?}");
     }
 }
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -95,17 +95,17 @@
         if self.cleared.at_ms(digest).is_some() {
             return QuarantineStatus::Allowed;
         }
-        let deaths = self.suspects.get(digest);
-        let is_new = |id: &&EndpointId| deaths.is_none_or(|deaths| !deaths.contains_key(*id));
-        let open = self
+        let crashes = self.suspects.get(digest);
+        let is_new = |id: &&EndpointId| crashes.is_none_or(|crashes| !crashes.contains_key(*id));
+        let pending = self
             .pending
             .recent_endpoints(digest, now_ms)
             .filter(is_new)
             .count();
-        let known = deaths.map_or(0, IndexMap::len);
+        let known = crashes.map_or(0, IndexMap::len);
         // Runs of harmless requests break off occasionally, too: a request is held back only if the
         // pending run would be decisive.
-        if open > 0 && known + open >= CRASHES_TO_WITHHOLD {
+        if pending > 0 && known + pending >= CRASHES_TO_WITHHOLD {
             QuarantineStatus::Undecided
         } else {
             QuarantineStatus::Allowed
@@ -135,21 +135,21 @@
 
     /// Resolves pending runs and drops expired evidence. `liveness` gets an endpoint and the time at
     /// which a run broke off there.
-    pub(crate) fn update<F>(&mut self, now_ms: u64, fate: F) -> Vec<QuarantineChange>
+    pub(crate) fn update<F>(&mut self, now_ms: u64, liveness: F) -> Vec<QuarantineChange>
     where
         F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
-        let ended = self.pending.resolve(now_ms, fate);
-        let lapsed = self.drop_expired(now_ms);
-        if ended.is_empty() && !lapsed {
+        let ended = self.pending.resolve(now_ms, liveness);
+        let has_expired = self.drop_expired(now_ms);
+        if ended.is_empty() && !has_expired {
             return Vec::new();
         }
         for (digest, endpoint, run) in ended {
-            let death = Crash {
+            let crash = Crash {
                 stage: run.stage,
                 at_ms: run.at_ms,
             };
-            if self.record_crash(digest, &endpoint, death) {
+            if self.record_crash(digest, &endpoint, crash) {
                 self.announce(Update::Crash(digest, endpoint));
             }
         }
@@ -170,42 +170,45 @@
     /// Applies evidence that a peer has reported. New evidence is forwarded if `relays` is set.
     pub(crate) fn apply_report(
         &mut self,
-        told: &EvidenceReport,
+        report: &EvidenceReport,
         relays: bool,
         now_ms: u64,
     ) -> Vec<QuarantineChange> {
-        let mut is_news = false;
-        for word in &told.clearances {
-            let at_ms = now_ms.saturating_sub(u64::from(word.age_ms));
-            let is_new = self.cleared.at_ms(&word.digest).is_none();
-            self.cleared.record(word.digest, at_ms, now_ms);
-            is_news |= self.suspects.swap_remove(&word.digest).is_some();
+        let mut has_new_evidence = false;
+        for clearance in &report.clearances {
+            let at_ms = now_ms.saturating_sub(u64::from(clearance.age_ms));
+            let is_new = self.cleared.at_ms(&clearance.digest).is_none();
+            self.cleared.record(clearance.digest, at_ms, now_ms);
+            has_new_evidence |= self.suspects.swap_remove(&clearance.digest).is_some();
             if is_new && relays {
-                self.announce(Update::Cleared(word.digest));
+                self.announce(Update::Cleared(clearance.digest));
             }
         }
-        for told in &told.crashes {
-            let age_ms = u64::from(told.age_ms);
+        for crash_report in &report.crashes {
+            let age_ms = u64::from(crash_report.age_ms);
             if age_ms >= EVIDENCE_TTL_MS {
                 continue;
             }
-            if self.cleared.at_ms(&told.digest).is_some() {
+            if self.cleared.at_ms(&crash_report.digest).is_some() {
                 // The peer does not know that an endpoint survived it.
-                self.announce(Update::Cleared(told.digest));
+                self.announce(Update::Cleared(crash_report.digest));
                 continue;
             }
-            let death = Crash {
-                stage: told.stage,
+            let crash = Crash {
+                stage: crash_report.stage,
                 at_ms: now_ms.saturating_sub(age_ms),
             };
-            if self.record_crash(told.digest, &told.endpoint, death) {
-                is_news = true;
+            if self.record_crash(crash_report.digest, &crash_report.endpoint, crash) {
+                has_new_evidence = true;
                 if relays {
-                    self.announce(Update::Crash(told.digest, told.endpoint.clone()));
+                    self.announce(Update::Crash(
+                        crash_report.digest,
+                        crash_report.endpoint.clone(),
+                    ));
                 }
             }
         }
-        if is_news {
+        if has_new_evidence {
             self.reevaluate()
         } else {
             Vec::new()
@@ -220,20 +223,21 @@
     /// The evidence for the next heartbeat: updates, each of them several times, and reminders of
     /// withheld requests in rotation.
     pub(crate) fn next_report(&mut self, now_ms: u64) -> EvidenceReport {
-        let mut told = EvidenceReport::default();
-        let named: Vec<Update> = self.updates.keys().take(MAX_UPDATES).cloned().collect();
-        for news in &named {
-            if let Some(left) = self.updates.get_mut(news) {
+        let mut report = EvidenceReport::default();
+        let batch: Vec<Update> = self.updates.keys().take(MAX_UPDATES).cloned().collect();
+        for update in &batch {
+            if let Some(left) = self.updates.get_mut(update) {
                 *left -= 1;
             }
-            match news {
+            match update {
                 Update::Crash(digest, endpoint) => {
-                    told.crashes
+                    report
+                        .crashes
                         .extend(self.crash_report(digest, endpoint, now_ms));
                 }
                 Update::Cleared(digest) => {
                     let at_ms = self.cleared.at_ms(digest);
-                    told.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
+                    report.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
                         digest: *digest,
                         age_ms: age_ms(at_ms, now_ms),
                     }));
@@ -241,8 +245,8 @@
             }
         }
         self.updates.retain(|_, left| *left > 0);
-        told.crashes.extend(self.reminders(now_ms));
-        told
+        report.crashes.extend(self.reminders(now_ms));
+        report
     }
 
     fn reminders(&mut self, now_ms: u64) -> Vec<CrashReport> {
@@ -251,12 +255,13 @@
             .iter()
             .flat_map(|(digest, endpoints)| {
                 // These are enough to have it withheld elsewhere.
-                let enough = endpoints.iter().take(CRASHES_TO_WITHHOLD);
-                enough.map(move |endpoint| (digest, endpoint))
+                let sufficient = endpoints.iter().take(CRASHES_TO_WITHHOLD);
+                sufficient.map(move |endpoint| (digest, endpoint))
             })
             .collect();
-        let turn = self.reminder_rotation.next_batch(&all, MAX_REMINDERS);
-        turn.filter_map(|(digest, endpoint)| self.crash_report(digest, endpoint, now_ms))
+        let batch = self.reminder_rotation.next_batch(&all, MAX_REMINDERS);
+        batch
+            .filter_map(|(digest, endpoint)| self.crash_report(digest, endpoint, now_ms))
             .collect()
     }
 
@@ -266,49 +271,49 @@
         endpoint: &EndpointId,
         now_ms: u64,
     ) -> Option<CrashReport> {
-        let death = self.suspects.get(digest)?.get(endpoint)?;
+        let crash = self.suspects.get(digest)?.get(endpoint)?;
         Some(CrashReport {
             digest: *digest,
             endpoint: endpoint.clone(),
-            stage: death.stage,
-            age_ms: age_ms(death.at_ms, now_ms),
+            stage: crash.stage,
+            age_ms: age_ms(crash.at_ms, now_ms),
         })
     }
 
-    fn announce(&mut self, news: Update) {
+    fn announce(&mut self, update: Update) {
         if self.updates.len() < MAX_SUSPECTS {
-            self.updates.entry(news).or_insert(SENDS_PER_UPDATE);
+            self.updates.entry(update).or_insert(SENDS_PER_UPDATE);
         }
     }
 
     /// Records a crash. Returns whether it adds to the evidence: another endpoint, or a run that had done
     /// less. Of several runs of a request at one endpoint, the one that had done least counts, in
     /// whichever order they are reported.
-    fn record_crash(&mut self, digest: RequestDigest, endpoint: &EndpointId, death: Crash) -> bool {
+    fn record_crash(&mut self, digest: RequestDigest, endpoint: &EndpointId, crash: Crash) -> bool {
         if self.cleared.at_ms(&digest).is_some() {
             return false;
         }
         if !self.suspects.contains_key(&digest) && self.suspects.len() >= MAX_SUSPECTS {
             self.evict_weakest();
         }
-        let deaths = self.suspects.entry(digest).or_default();
-        let count = deaths.len();
-        match deaths.get_mut(endpoint) {
-            Some(known) if death.stage.rank() < known.stage.rank() => known.stage = death.stage,
+        let crashes = self.suspects.entry(digest).or_default();
+        let count = crashes.len();
+        match crashes.get_mut(endpoint) {
+            Some(known) if crash.stage.rank() < known.stage.rank() => known.stage = crash.stage,
             Some(_) => return false,
             None if count >= MAX_CRASHES => return false,
-            None => drop(deaths.insert(endpoint.clone(), death)),
+            None => drop(crashes.insert(endpoint.clone(), crash)),
         }
         true
     }
 
     fn evict_weakest(&mut self) {
-        let least = self
+        let weakest = self
             .suspects
             .iter()
-            .min_by_key(|(_, deaths)| (deaths.len(), newest_ms(deaths)));
-        if let Some(least) = least.map(|(digest, _)| *digest) {
-            self.suspects.swap_remove(&least);
+            .min_by_key(|(_, crashes)| (crashes.len(), newest_ms(crashes)));
+        if let Some(weakest) = weakest.map(|(digest, _)| *digest) {
+            self.suspects.swap_remove(&weakest);
         }
     }
 
@@ -316,7 +321,7 @@
     fn drop_expired(&mut self, now_ms: u64) -> bool {
         let before = self.suspects.len();
         self.suspects
-            .retain(|_, deaths| now_ms < newest_ms(deaths) + EVIDENCE_TTL_MS);
+            .retain(|_, crashes| now_ms < newest_ms(crashes) + EVIDENCE_TTL_MS);
         self.suspects.len() < before
     }
 
@@ -337,8 +342,8 @@
     }
 }
 
-fn newest_ms(deaths: &Crashes) -> u64 {
-    deaths.values().map(|death| death.at_ms).max().unwrap_or(0)
+fn newest_ms(crashes: &Crashes) -> u64 {
+    crashes.values().map(|crash| crash.at_ms).max().unwrap_or(0)
 }
 
 fn age_ms(at_ms: u64, now_ms: u64) -> u32 {
--- a/src/quarantine/pending.rs
+++ b/src/quarantine/pending.rs
@@ -39,21 +39,22 @@
     pub(super) fn resolve<F>(
         &mut self,
         now_ms: u64,
-        fate: F,
+        liveness: F,
     ) -> Vec<(RequestDigest, EndpointId, BrokenRun)>
     where
         F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
         let mut ended = Vec::new();
-        self.runs
-            .retain(|(digest, endpoint), run| match fate(endpoint, run.at_ms) {
+        self.runs.retain(
+            |(digest, endpoint), run| match liveness(endpoint, run.at_ms) {
                 EndpointLiveness::Ended => {
                     ended.push((*digest, endpoint.clone(), *run));
                     false
                 }
                 EndpointLiveness::Alive => false,
                 EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_TIMEOUT_MS,
-            });
+            },
+        );
         ended
     }
 
@@ -63,10 +64,10 @@
         digest: &RequestDigest,
         now_ms: u64,
     ) -> impl Iterator<Item = &EndpointId> {
-        let own = self
+        let recent = self
             .runs
             .iter()
             .filter(move |((of, _), run)| of == digest && now_ms < run.at_ms + HOLD_BACK_MS);
-        own.map(|((_, endpoint), _)| endpoint)
+        recent.map(|((_, endpoint), _)| endpoint)
     }
 }
--- a/src/quarantine/tests.rs
+++ b/src/quarantine/tests.rs
@@ -10,7 +10,7 @@
 use crate::ids::EndpointId;
 
 /// Time since the response's head of a run that has just started.
-const BEGUN: Option<u64> = Some(60);
+const STARTED: Option<u64> = Some(60);
 
 pub(super) fn digest(number: u64) -> RequestDigest {
     let text = format!("{number:032x}");
@@ -22,7 +22,7 @@
 }
 
 /// Lets an endpoint terminate, at which these runs break off: request and time since the head.
-fn end(
+fn terminate(
     quarantine: &mut Quarantine,
     number: usize,
     runs: &[(u64, Option<u64>)],
@@ -41,31 +41,31 @@
 }
 
 #[test]
-fn a_request_is_withheld_once_three_endpoints_have_ended_under_it() {
+fn a_request_is_withheld_after_three_crashes() {
     let mut quarantine = Quarantine::default();
     for number in 0..2 {
-        assert_eq!(end(&mut quarantine, number, &[(1, BEGUN)], 10), []);
+        assert_eq!(terminate(&mut quarantine, number, &[(1, STARTED)], 10), []);
     }
-    let ends = (0..3).map(endpoint).collect();
+    let endpoints = (0..3).map(endpoint).collect();
     assert_eq!(
-        end(&mut quarantine, 2, &[(1, BEGUN)], 10),
-        [QuarantineChange::Withheld(digest(1), ends)]
+        terminate(&mut quarantine, 2, &[(1, STARTED)], 10),
+        [QuarantineChange::Withheld(digest(1), endpoints)]
     );
     assert!(is_withheld(&quarantine, 1, 10));
     assert!(!is_withheld(&quarantine, 2, 10));
 }
 
 #[test]
-fn several_runs_at_one_endpoint_are_one_end() {
+fn several_runs_at_one_endpoint_count_as_one_crash() {
     let mut quarantine = Quarantine::default();
     for _ in 0..5 {
-        end(&mut quarantine, 0, &[(1, BEGUN)], 10);
+        terminate(&mut quarantine, 0, &[(1, STARTED)], 10);
     }
     assert!(!is_withheld(&quarantine, 1, 10));
 }
 
 #[test]
-fn a_broken_connection_to_an_endpoint_that_lives_counts_for_nothing() {
+fn a_broken_connection_to_a_live_endpoint_is_no_evidence() {
     let mut quarantine = Quarantine::default();
     for number in 0..9 {
         let stage = RunStage::Started { after_ms: 60 };
@@ -78,20 +78,20 @@
 
 // Nearly all runs at an endpoint that terminates are streams past their startup phase.
 #[test]
-fn a_run_that_goes_on_is_under_no_suspicion() {
+fn a_run_past_its_startup_phase_is_not_suspected() {
     let mut quarantine = Quarantine::default();
     for number in 0..9 {
-        end(&mut quarantine, number, &[(1, Some(1_000))], 10);
+        terminate(&mut quarantine, number, &[(1, Some(1_000))], 10);
     }
     assert!(!is_withheld(&quarantine, 1, 10));
 }
 
 #[test]
-fn bystanders_of_a_withheld_request_are_free() {
+fn bystanders_of_a_withheld_request_are_not_withheld() {
     let mut quarantine = Quarantine::default();
     for number in 0..5 {
-        let runs = [(1, BEGUN), (2, Some(700)), (3, None)];
-        end(&mut quarantine, number, &runs, 10);
+        let runs = [(1, STARTED), (2, Some(700)), (3, None)];
+        terminate(&mut quarantine, number, &runs, 10);
     }
     assert!(is_withheld(&quarantine, 1, 10));
     assert!(!is_withheld(&quarantine, 2, 10));
@@ -100,34 +100,34 @@
 
 // The evidence against the bystander may arrive first.
 #[test]
-fn a_bystander_that_was_withheld_is_free_once_the_ends_are_explained() {
+fn a_withheld_bystander_is_released_once_its_crashes_are_explained() {
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
-        end(&mut quarantine, number, &[(2, None)], 10);
+        terminate(&mut quarantine, number, &[(2, None)], 10);
     }
     assert!(is_withheld(&quarantine, 2, 10));
     for number in 0..3 {
-        end(&mut quarantine, number, &[(1, BEGUN)], 20);
+        terminate(&mut quarantine, number, &[(1, STARTED)], 20);
     }
     assert!(is_withheld(&quarantine, 1, 20));
     assert!(!is_withheld(&quarantine, 2, 20));
 }
 
 #[test]
-fn a_request_under_which_an_endpoint_went_on_is_never_withheld_for_chance() {
+fn a_request_that_an_endpoint_survived_is_not_withheld() {
     let mut quarantine = Quarantine::default();
     quarantine.clear(digest(1), 10);
     for number in 0..9 {
-        end(&mut quarantine, number, &[(1, BEGUN)], 20);
+        terminate(&mut quarantine, number, &[(1, STARTED)], 20);
     }
     assert!(!is_withheld(&quarantine, 1, 20));
 }
 
 #[test]
-fn a_run_that_goes_on_takes_a_verdict_back_here_and_elsewhere() {
+fn a_surviving_run_releases_a_request_on_all_instances() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     for number in 0..3 {
-        end(&mut here, number, &[(1, BEGUN)], 10);
+        terminate(&mut here, number, &[(1, STARTED)], 10);
     }
     there.apply_report(&here.next_report(20), false, 20);
     assert!(is_withheld(&there, 1, 20));
@@ -140,11 +140,11 @@
 }
 
 #[test]
-fn a_peer_that_does_not_know_of_such_a_run_is_told() {
+fn a_peer_with_evidence_against_a_cleared_request_gets_the_clearance() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     here.clear(digest(1), 10);
     for number in 0..3 {
-        end(&mut there, number, &[(1, BEGUN)], 20);
+        terminate(&mut there, number, &[(1, STARTED)], 20);
     }
     here.apply_report(&there.next_report(30), false, 30);
     there.apply_report(&here.next_report(40), false, 40);
@@ -152,21 +152,21 @@
 }
 
 #[test]
-fn ends_at_several_instances_are_counted_together() {
+fn crashes_seen_by_several_instances_are_counted_together() {
     let mut here = Quarantine::default();
     for number in 0..3 {
         let mut there = Quarantine::default();
-        end(&mut there, number, &[(1, BEGUN)], 10);
-        let told = there.next_report(10);
+        terminate(&mut there, number, &[(1, STARTED)], 10);
+        let report = there.next_report(10);
         // A heartbeat may be delivered twice.
-        here.apply_report(&told, false, 20);
-        here.apply_report(&told, false, 30);
+        here.apply_report(&report, false, 20);
+        here.apply_report(&report, false, 30);
     }
     assert!(is_withheld(&here, 1, 30));
 }
 
 #[test]
-fn evidence_lapses_some_time_after_the_newest_end() {
+fn evidence_expires_after_the_newest_crash() {
     let mut quarantine = Quarantine::default();
     for (number, at_ms) in [
         (0, 0),
@@ -174,7 +174,7 @@
         (2, 2 * EVIDENCE_TTL_MS - 2),
     ] {
         quarantine.update(at_ms, |_, _| EndpointLiveness::Ended);
-        end(&mut quarantine, number, &[(1, BEGUN)], at_ms);
+        terminate(&mut quarantine, number, &[(1, STARTED)], at_ms);
     }
     let over_ms = 3 * EVIDENCE_TTL_MS - 2;
     quarantine.update(over_ms - 1, |_, _| EndpointLiveness::Ended);
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_request_is_held_back_until_it_is_known_whether_a_third_endpoint_has_ended() {
+fn a_request_is_held_back_while_a_third_crash_is_undecided() {
     let mut quarantine = Quarantine::default();
     let stage = RunStage::Started { after_ms: 60 };
     for number in 0..2 {
@@ -209,10 +209,10 @@
 }
 
 #[test]
-fn instances_that_start_learn_what_is_withheld_from_any_other() {
+fn a_starting_instance_learns_withheld_requests_from_any_peer() {
     let mut here = Quarantine::default();
     for number in 0..5 {
-        end(&mut here, number, &[(1, BEGUN)], 10);
+        terminate(&mut here, number, &[(1, STARTED)], 10);
     }
     for _ in 0..20 {
         here.next_report(20);
@@ -225,33 +225,33 @@
 }
 
 #[test]
-fn what_is_heard_is_told_on_only_by_those_who_relay() {
+fn only_relaying_instances_forward_evidence() {
     let mut there = Quarantine::default();
-    end(&mut there, 0, &[(1, BEGUN)], 10);
-    let told = there.next_report(10);
+    terminate(&mut there, 0, &[(1, STARTED)], 10);
+    let report = there.next_report(10);
     let (mut relay, mut other) = (Quarantine::default(), Quarantine::default());
-    relay.apply_report(&told, true, 20);
-    other.apply_report(&told, false, 20);
+    relay.apply_report(&report, true, 20);
+    other.apply_report(&report, false, 20);
     assert_eq!(relay.next_report(30).crashes.len(), 1);
     assert_eq!(other.next_report(30), EvidenceReport::default());
 }
 
 // Each request of the flood crashes one endpoint, so none of them reaches three crashes.
 #[test]
-fn a_flood_of_requests_takes_bounded_memory_and_sets_nobody_free() {
+fn a_flood_of_requests_takes_bounded_memory_and_releases_nothing() {
     let mut quarantine = Quarantine::default();
     for number in 0..3 {
-        end(&mut quarantine, number, &[(1, BEGUN)], 10);
+        terminate(&mut quarantine, number, &[(1, STARTED)], 10);
     }
     for request in 10..4_010 {
-        end(&mut quarantine, request as usize, &[(request, BEGUN)], 20);
+        terminate(&mut quarantine, request as usize, &[(request, STARTED)], 20);
         quarantine.clear(digest(100_000 + request), 20);
     }
     assert!(is_withheld(&quarantine, 1, 20));
     assert_eq!(quarantine.withheld_count(), 1);
-    let told = quarantine.next_report(30);
-    assert!(told.crashes.len() + told.clearances.len() <= 18);
-    let bytes = postcard::to_stdvec(&told).expect("it can be written");
+    let report = quarantine.next_report(30);
+    assert!(report.crashes.len() + report.clearances.len() <= 18);
+    let bytes = postcard::to_stdvec(&report).expect("it can be written");
     assert!(bytes.len() < 1_000, "{} bytes", bytes.len());
 }
 
@@ -262,26 +262,26 @@
         ends in prop::collection::vec((0_u64..4, 0_usize..6, 0_u32..1_200), 1..24),
         order in any::<u64>(),
     ) {
-        let mut deaths: Vec<CrashReport> = Vec::new();
+        let mut crashes: Vec<CrashReport> = Vec::new();
         for (request, number, after_ms) in ends {
             let stage = if after_ms < 1_000 { RunStage::Started { after_ms } } else { RunStage::Waiting };
-            let death = CrashReport { digest: digest(request), endpoint: endpoint(number), stage, age_ms: 5 };
-            deaths.push(death);
+            let crash = CrashReport { digest: digest(request), endpoint: endpoint(number), stage, age_ms: 5 };
+            crashes.push(crash);
         }
-        let mut shuffled = deaths.clone();
+        let mut shuffled = crashes.clone();
         let count = shuffled.len();
         for place in 0..count {
             let other = order.rotate_left(place as u32) as usize % count;
             shuffled.swap(place, other);
         }
-        let withheld = |deaths: Vec<CrashReport>| {
+        let withheld = |crashes: Vec<CrashReport>| {
             let mut quarantine = Quarantine::default();
-            for death in deaths {
-                let told = EvidenceReport { crashes: vec![death], ..EvidenceReport::default() };
-                quarantine.apply_report(&told, false, 100);
+            for crash in crashes {
+                let report = EvidenceReport { crashes: vec![crash], ..EvidenceReport::default() };
+                quarantine.apply_report(&report, false, 100);
             }
             (0..4).map(|request| is_withheld(&quarantine, request, 100)).collect::<Vec<bool>>()
         };
-        prop_assert_eq!(withheld(deaths), withheld(shuffled));
+        prop_assert_eq!(withheld(crashes), withheld(shuffled));
     }
 }
--- a/src/quarantine/verdict.rs
+++ b/src/quarantine/verdict.rs
@@ -34,21 +34,24 @@
     let mut explained: IndexSet<&EndpointId> = IndexSet::new();
     let mut chosen = IndexMap::new();
     loop {
-        let open = suspects
+        let remaining = suspects
             .clone()
             .filter(|(digest, _)| !chosen.contains_key(*digest));
-        let many = open.filter(|(_, deaths)| deaths.len() >= CRASHES_TO_WITHHOLD);
-        let ranked = many.filter_map(|(digest, deaths)| {
-            let own = deaths.iter().filter(|it| !explained.contains(it.0));
-            let slowest = own.clone().map(|(_, death)| death.stage.rank()).max()?;
-            let count = own.count();
-            (count >= CRASHES_TO_WITHHOLD).then_some((count, Reverse(slowest), digest, deaths))
+        let candidates = remaining.filter(|(_, crashes)| crashes.len() >= CRASHES_TO_WITHHOLD);
+        let ranked = candidates.filter_map(|(digest, crashes)| {
+            let unexplained = crashes.iter().filter(|it| !explained.contains(it.0));
+            let slowest = unexplained
+                .clone()
+                .map(|(_, crash)| crash.stage.rank())
+                .max()?;
+            let count = unexplained.count();
+            (count >= CRASHES_TO_WITHHOLD).then_some((count, Reverse(slowest), digest, crashes))
         });
         let worst = ranked.max_by_key(|(count, slowest, digest, _)| (*count, *slowest, **digest));
-        let Some((_, _, digest, deaths)) = worst else {
+        let Some((_, _, digest, crashes)) = worst else {
             return chosen;
         };
-        explained.extend(deaths.keys());
-        chosen.insert(*digest, deaths.keys().cloned().collect());
+        explained.extend(crashes.keys());
+        chosen.insert(*digest, crashes.keys().cloned().collect());
     }
 }
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -54,21 +54,23 @@
 where
     A: Adapter,
 {
-    let mut duties: IndexMap<ServiceName, PlacementTask> = IndexMap::new();
+    let mut tasks: IndexMap<ServiceName, PlacementTask> = IndexMap::new();
     loop {
         sleep(Duration::from_millis(TICK_MS)).await;
         let Some(table) = node.routes() else {
             continue;
         };
-        let heard = node.peer_orders.take();
+        let peer_orders = node.peer_orders.take();
         for (service, spec) in &table.services {
             let Some(model) = &spec.model else {
                 continue;
             };
-            if !duties.contains_key(service) {
-                duties.insert(service.clone(), PlacementTask::new(&node, service));
+            if !tasks.contains_key(service) {
+                tasks.insert(service.clone(), PlacementTask::new(&node, service));
             }
-            duties[service].tick(&node, service, model, &heard).await;
+            tasks[service]
+                .tick(&node, service, model, &peer_orders)
+                .await;
         }
     }
 }
@@ -92,14 +94,14 @@
         node: &Rc<Node<A>>,
         service: &ServiceName,
         model: &EngineModel,
-        heard: &[PlacementOrder],
+        peer_orders: &[PlacementOrder],
     ) where
         A: Adapter,
     {
         let now_ms = boot_ms();
         let engines = engines(node, service);
-        let is_ours = |order: &&PlacementOrder| engines.iter().any(|it| it.id == order.endpoint);
-        for order in heard.iter().filter(is_ours) {
+        let is_own = |order: &&PlacementOrder| engines.iter().any(|it| it.id == order.endpoint);
+        for order in peer_orders.iter().filter(is_own) {
             self.placement.order_reported(order.clone(), model, now_ms);
         }
         if engines.len() != self.seen_engines {
@@ -158,19 +160,19 @@
         let Some(holder) = self.lease.holder() else {
             return;
         };
-        let end = node
+        let status = node
             .peers
             .borrow()
             .lease_holder_status(service, &holder, boot_ms());
         let are_fenced = node.settings.bounds.engines_check_fence;
         let has_ended =
-            end == HolderStatus::Ended || (end == HolderStatus::PresumedEnded && are_fenced);
+            status == HolderStatus::Ended || (status == HolderStatus::PresumedEnded && are_fenced);
         if has_ended && self.lease.record_holder_ended(holder.fence) {
             log::info!(
                 service = service.as_str(),
                 holder = holder.instance.as_str(),
                 fence = holder.fence,
-                evidence = end.log_value();
+                evidence = status.log_value();
                 "lease holder has terminated"
             );
         }
@@ -236,11 +238,11 @@
 where
     A: Adapter,
 {
-    let given = orders.into_iter().map(|order| async move {
+    let results = orders.into_iter().map(|order| async move {
         let result = send_order(node, &order, fence).await;
         (order, result)
     });
-    join_all(given).await
+    join_all(results).await
 }
 
 async fn send_order<A>(
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -225,7 +225,7 @@
             RefusalCause::NoEndpoint,
         )));
     };
-    let patience_ms = ask.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
+    let timeout_ms = ask.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     Ok(RelayedRequest {
         table: Rc::clone(table),
         account: resolved.account.map(|account| account.name.clone()),
@@ -235,7 +235,7 @@
         body: Bytes::new(),
         digest: None,
         arrived_ms: now_ms,
-        deadline_ms: now_ms + patience_ms.min(route.timeout_ms),
+        deadline_ms: now_ms + timeout_ms.min(route.timeout_ms),
         route,
         ask,
     })
@@ -247,13 +247,13 @@
         return false;
     };
     let limit_ms = node.settings.bounds.stop_limit_ms;
-    let any_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
-    let open_ms = if route.repeat.is_stream() {
-        any_ms
+    let open_all_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
+    let open_route_ms = if route.repeat.is_stream() {
+        open_all_ms
     } else {
-        any_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
+        open_all_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
     };
-    now_ms > since_ms + open_ms
+    now_ms > since_ms + open_route_ms
 }
 
 fn reject<A>(
@@ -294,7 +294,7 @@
 where
     A: Adapter,
 {
-    let outlook = node.retry_conditions(0, 0);
+    let conditions = node.retry_conditions(0, 0);
     let limit = AttemptLimit::from(cause);
     node.count_given_up(limit);
     let table = node.table.borrow();
@@ -303,14 +303,14 @@
         route = route.map(|route| route.name.as_str()),
         cause = cause.name(),
         limit = limit.name(),
-        retry_after_ms = cause.retry_after_ms(outlook),
+        retry_after_ms = cause.retry_after_ms(conditions),
         table = table.table().map(|table| table.version),
         table_age_ms = table.age_ms(boot_ms()),
         list_age_ms = node.fleet.borrow().age_ms(boot_ms());
         "request is refused"
     );
     drop(table);
-    error_response(node, FinalError::NotRun(cause), outlook)
+    error_response(node, FinalError::NotRun(cause), conditions)
 }
 
 async fn read_body(
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -282,24 +282,24 @@
     }
 
     /// Records a failure of an endpoint, and announces it if the endpoint is excluded from now on.
-    pub(crate) fn record_failure(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
-        let is_out = self
+    pub(crate) fn record_failure(&self, endpoint: &EndpointId, failure: EndpointFailure) {
+        let is_excluded = self
             .fleet
             .borrow_mut()
-            .record_failure(endpoint, trouble, boot_ms());
-        if is_out {
-            self.handle_exclusion(endpoint, trouble);
+            .record_failure(endpoint, failure, boot_ms());
+        if is_excluded {
+            self.handle_exclusion(endpoint, failure);
         }
     }
 
     /// Records that an engine has not answered a probe sent at `asked_ms` although the link was idle.
     pub(crate) fn record_unanswered(&self, endpoint: &EndpointId, asked_ms: u64) {
-        let is_out = self
+        let is_excluded = self
             .fleet
             .borrow_mut()
             .get_mut(endpoint)
             .is_some_and(|known| known.record_unanswered(asked_ms, boot_ms()));
-        if is_out {
+        if is_excluded {
             self.handle_exclusion(endpoint, EndpointFailure::Unreachable);
         }
     }
@@ -312,7 +312,7 @@
             .map_or(0, |known| known.last_heard.at_ms())
     }
 
-    fn handle_exclusion(&self, endpoint: &EndpointId, trouble: EndpointFailure) {
+    fn handle_exclusion(&self, endpoint: &EndpointId, failure: EndpointFailure) {
         let now_ms = boot_ms();
         let ago = |at_ms: u64| now_ms.saturating_sub(at_ms);
         let (asked_ms, heard_ms) = {
@@ -323,13 +323,13 @@
         };
         log::warn!(
             endpoint = endpoint.as_str(),
-            cause = trouble.name(),
+            cause = failure.name(),
             asked_ago_ms = asked_ms.map(ago),
             heard_ago_ms = (heard_ms > 0).then_some(ago(heard_ms));
             "endpoint is left out"
         );
         self.counters.count("relay.endpoints.left_out");
-        if trouble.loses_requests() {
+        if failure.loses_requests() {
             self.announce_unsound(endpoint);
         }
     }
@@ -414,8 +414,8 @@
     pub(crate) fn stage_to_check(&self, endpoint: &EndpointId) -> Option<ChainStage> {
         let fleet = self.fleet.borrow();
         let known = fleet.get(endpoint)?;
-        let is_news = !known.health.is_unverified();
-        known.stage().filter(|_| is_news)
+        let is_new = !known.health.is_unverified();
+        known.stage().filter(|_| is_new)
     }
 
     /// Applies changes that a read of the endpoint list has brought, and announces endpoints that
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -72,12 +72,12 @@
         limit: ROWS_LIMIT,
     };
     let found = node.adapter.store().scan(&ask, REGISTER_TIMEOUT_MS).await?;
-    let deaths: Vec<CrashReport> = found.rows.iter().flat_map(crashes_from_row).collect();
-    let told = EvidenceReport {
-        crashes: deaths,
+    let crashes: Vec<CrashReport> = found.rows.iter().flat_map(crashes_from_row).collect();
+    let evidence = EvidenceReport {
+        crashes,
         ..EvidenceReport::default()
     };
-    node.apply_evidence(&told, SOURCE_STORE, boot_ms());
+    node.apply_evidence(&evidence, SOURCE_STORE, boot_ms());
     match found.rows.iter().find(|row| row.key == KEY_ROW) {
         Some(row) => Ok(key_from_row(row)),
         None => create_key(node).await,
@@ -88,20 +88,20 @@
 where
     A: Adapter,
 {
-    let drawn = DigestKey::generate(&mut rand::rng());
+    let key = DigestKey::generate(&mut rand::rng());
     let transaction = Transaction {
         conditions: vec![Condition::BeAbsent {
             key: KEY_ROW.to_owned(),
         }],
         writes: vec![Write::Put {
             key: KEY_ROW.to_owned(),
-            value: drawn.to_hex(),
+            value: key.to_hex(),
         }],
     };
     let store = node.adapter.store();
     let reply = store.transact(&transaction, REGISTER_TIMEOUT_MS).await?;
     Ok(match reply {
-        TransactReply::Committed { .. } => Some(drawn),
+        TransactReply::Committed { .. } => Some(key),
         // Another instance wrote its key first; all must use the same one.
         TransactReply::Conflict { rows } => rows.first().and_then(key_from_row),
     })
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_at_its_announced_end() {
+async fn a_response_is_complete_at_its_announced_end() {
     let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
     assert_eq!(
         fetch(sized, ConnectionEnd::KeepOpen).await,
@@ -82,7 +82,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_ends_before_its_announced_end_is_broken() {
+async fn a_response_that_ends_early_is_broken() {
     for end in [ConnectionEnd::Close, ConnectionEnd::Reset] {
         let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello";
         assert_eq!(fetch(sized, end).await, Err(UpstreamFailure::Broken));
@@ -92,7 +92,7 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_without_length_ends_with_its_connection_unless_that_is_reset() {
+async fn a_response_without_length_ends_with_its_connection_unless_reset() {
     let open = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello";
     assert_eq!(
         fetch(open, ConnectionEnd::Close).await,
@@ -105,7 +105,7 @@
 }
 
 #[actix_rt::test]
-async fn what_is_no_answer_is_told_from_a_broken_one() {
+async fn an_invalid_response_is_distinguished_from_a_truncated_one() {
     assert_eq!(
         fetch(b"\x00\x01 no answer\r\n\r\n", ConnectionEnd::KeepOpen).await,
         Err(UpstreamFailure::Garbled)
@@ -122,7 +122,7 @@
 }
 
 #[actix_rt::test]
-async fn a_connection_with_bytes_of_no_request_is_not_used_again() {
+async fn a_connection_with_surplus_bytes_is_not_reused() {
     let extra = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n";
     let address = endpoint(extra, ConnectionEnd::KeepOpen);
     let upstreams = UpstreamPool::new();
@@ -151,7 +151,7 @@
 /// Establishing a connection takes up to 300 ms. Without a check afterwards, a request reached an
 /// endpoint that had announced meanwhile that it is leaving.
 #[actix_rt::test]
-async fn nothing_is_sent_to_an_endpoint_that_is_not_to_be_sent_requests_any_more() {
+async fn nothing_is_sent_if_the_endpoint_no_longer_accepts_requests() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     let sent = UpstreamPool::new()
@@ -167,13 +167,13 @@
 proptest! {
     /// Parsing a snapshot must not panic or hang on any input.
     #[test]
-    fn no_snapshot_crashes_its_reader(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn parsing_a_snapshot_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode_snapshot(&bytes);
     }
 }
 
 #[test]
-fn peers_are_asked_only_for_what_the_store_does_not_tell() {
+fn peers_are_asked_only_for_what_the_store_does_not_deliver() {
     let wanting = |behind_since_ms, store_answers, list_age_ms| {
         let knowledge = SyncState {
             behind_since_ms,
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_question_says_what_is_known() {
+fn a_snapshot_query_states_known_versions() {
     let known = KnownVersions::from_query("table=12&list=340");
     assert_eq!(
         known,
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -68,12 +68,12 @@
     /// Applies evidence from peers or from rows of the store.
     pub(crate) fn apply_evidence(
         self: &Rc<Self>,
-        told: &EvidenceReport,
+        evidence: &EvidenceReport,
         source: &'static str,
         now_ms: u64,
     ) {
         // `is_among_first` iterates over all peers.
-        if told.is_empty() {
+        if evidence.is_empty() {
             return;
         }
         // The first instances of a zone reach all others within two heartbeat periods, so they relay
@@ -82,21 +82,22 @@
         let changes = self
             .quarantine
             .borrow_mut()
-            .apply_report(told, relays, now_ms);
+            .apply_report(evidence, relays, now_ms);
         self.apply_quarantine_changes(&changes, source);
     }
 
     /// Checks whether endpoints at which runs broke off have terminated.
     pub(crate) fn update_quarantine(self: &Rc<Self>) {
         let now_ms = boot_ms();
-        let (changes, has_news) = {
+        let (changes, has_updates) = {
             let fleet = self.fleet.borrow();
             let mut quarantine = self.quarantine.borrow_mut();
-            let changes =
-                quarantine.update(now_ms, |id, broke_ms| endpoint_fate(&fleet, id, broke_ms));
+            let changes = quarantine.update(now_ms, |id, broke_off_ms| {
+                endpoint_liveness(&fleet, id, broke_off_ms)
+            });
             (changes, quarantine.has_unsent_updates())
         };
-        if has_news {
+        if has_updates {
             self.request_heartbeat();
         }
         self.apply_quarantine_changes(&changes, SOURCE_OWN_RUNS);
@@ -135,8 +136,8 @@
     }
 }
 
-/// Whether an endpoint has terminated since a run broke off there at `broke_ms`.
-fn endpoint_fate(fleet: &Fleet, id: &EndpointId, broke_ms: u64) -> EndpointLiveness {
+/// Whether an endpoint has terminated since a run broke off there at `broke_off_ms`.
+fn endpoint_liveness(fleet: &Fleet, id: &EndpointId, broke_off_ms: u64) -> EndpointLiveness {
     if fleet.has_ended(id) {
         return EndpointLiveness::Ended;
     }
@@ -144,7 +145,7 @@
         // It was in service when the run broke off, and has neither drained nor answered since.
         None => EndpointLiveness::Ended,
         Some(known) if known.listed.phase == Phase::Leaving => EndpointLiveness::Ended,
-        Some(known) if known.last_heard.at_ms() > broke_ms + IN_TRANSIT_MS => {
+        Some(known) if known.last_heard.at_ms() > broke_off_ms + IN_TRANSIT_MS => {
             EndpointLiveness::Alive
         }
         Some(_) => EndpointLiveness::Unknown,
