--- a/src/quarantine/cleared.rs
+++ b/src/quarantine/cleared.rs
@@ -10,7 +10,7 @@
 /// of thousands that was sent only once is dropped with its generation.
 const GENERATION_CAPACITY: usize = 2_048;
 /// Maximum age of a generation.
-const GENERATION_MS: u64 = 300_000;
+const GENERATION_TTL_MS: u64 = 300_000;
 
 /// When an endpoint last survived each request. Kept in two generations, of which the older one is
 /// dropped as a whole, so that no sorting is needed.
@@ -25,7 +25,7 @@
     /// Records that an endpoint survived a request at `at_ms`.
     pub(super) fn record(&mut self, digest: RequestDigest, at_ms: u64, now_ms: u64) {
         let is_full = self.newer.len() >= GENERATION_CAPACITY;
-        if is_full || now_ms >= self.since_ms + GENERATION_MS {
+        if is_full || now_ms >= self.since_ms + GENERATION_TTL_MS {
             self.older = mem::take(&mut self.newer);
             self.since_ms = now_ms;
         }
--- a/src/quarantine/digest.rs
+++ b/src/quarantine/digest.rs
@@ -74,8 +74,8 @@
             mac.update(part.as_bytes());
         }
         mac.update(parts.body);
-        let whole = mac.finalize().into_bytes();
-        let digest = whole.first_chunk::<DIGEST_BYTES>()?;
+        let tag = mac.finalize().into_bytes();
+        let digest = tag.first_chunk::<DIGEST_BYTES>()?;
         Some(RequestDigest(*digest))
     }
 }
--- a/src/quarantine/false_positive_tests.rs
+++ b/src/quarantine/false_positive_tests.rs
@@ -177,8 +177,9 @@
                 self.instances[run.instance].clear(digest(run.request), now_ms);
             }
         }
-        let is_whole = |run: &mut Run| run.request != CRASHING && now_ms >= run.since_ms + RUN_MS;
-        for run in self.runs.extract_if(.., is_whole) {
+        let is_complete =
+            |run: &mut Run| run.request != CRASHING && now_ms >= run.since_ms + RUN_MS;
+        for run in self.runs.extract_if(.., is_complete) {
             self.instances[run.instance].clear(digest(run.request), now_ms);
         }
         let crashes =
@@ -262,19 +263,19 @@
 /// Simulates a site with several seeds; `FESCUE_VERDICT_RUNS` overrides their number. Returns the sums
 /// of requests, and the maximum numbers of crashed endpoints in one simulation.
 fn simulate(site: Site, seeds: u64) -> Outcome {
-    let asked = std::env::var("FESCUE_VERDICT_RUNS").ok();
-    let seeds = asked.and_then(|it| it.parse().ok()).unwrap_or(seeds);
-    let mut all = Outcome::default();
+    let requested = std::env::var("FESCUE_VERDICT_RUNS").ok();
+    let seeds = requested.and_then(|it| it.parse().ok()).unwrap_or(seeds);
+    let mut total = Outcome::default();
     for seed in 0..seeds {
         let outcome = Simulation::new(site, seed).run();
-        all.requests += outcome.requests;
-        all.popular_withheld += outcome.popular_withheld;
-        all.others_withheld += outcome.others_withheld;
-        all.crashed = all.crashed.max(outcome.crashed);
-        all.crashed_late = all.crashed_late.max(outcome.crashed_late);
+        total.requests += outcome.requests;
+        total.popular_withheld += outcome.popular_withheld;
+        total.others_withheld += outcome.others_withheld;
+        total.crashed = total.crashed.max(outcome.crashed);
+        total.crashed_late = total.crashed_late.max(outcome.crashed_late);
     }
-    println!("{site:?}: {all:?}");
-    all
+    println!("{site:?}: {total:?}");
+    total
 }
 
 const SMALL: Site = Site {
--- a/src/quarantine/pending.rs
+++ b/src/quarantine/pending.rs
@@ -7,7 +7,7 @@
 
 /// How long a run is kept until its endpoint turns out to have terminated. A refused connection shows
 /// this within milliseconds; the endpoint list drops an unresponsive one within some seconds.
-const FATE_TIMEOUT_MS: u64 = 6_000;
+const RESOLVE_TIMEOUT_MS: u64 = 6_000;
 /// How long a request is held back until it is known whether one more endpoint has crashed under it.
 const HOLD_BACK_MS: u64 = 150;
 /// Maximum number of runs kept: as many as a few endpoints run at a time.
@@ -52,7 +52,7 @@
                     false
                 }
                 EndpointLiveness::Alive => false,
-                EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_TIMEOUT_MS,
+                EndpointLiveness::Unknown => now_ms < run.at_ms + RESOLVE_TIMEOUT_MS,
             },
         );
         ended
--- a/src/quarantine/verdict.rs
+++ b/src/quarantine/verdict.rs
@@ -40,14 +40,14 @@
         let candidates = remaining.filter(|(_, crashes)| crashes.len() >= CRASHES_TO_WITHHOLD);
         let ranked = candidates.filter_map(|(digest, crashes)| {
             let unexplained = crashes.iter().filter(|it| !explained.contains(it.0));
-            let slowest = unexplained
+            let max_rank = unexplained
                 .clone()
                 .map(|(_, crash)| crash.stage.rank())
                 .max()?;
             let count = unexplained.count();
-            (count >= CRASHES_TO_WITHHOLD).then_some((count, Reverse(slowest), digest, crashes))
+            (count >= CRASHES_TO_WITHHOLD).then_some((count, Reverse(max_rank), digest, crashes))
         });
-        let worst = ranked.max_by_key(|(count, slowest, digest, _)| (*count, *slowest, **digest));
+        let worst = ranked.max_by_key(|(count, max_rank, digest, _)| (*count, *max_rank, **digest));
         let Some((_, _, digest, crashes)) = worst else {
             return chosen;
         };
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -21,17 +21,17 @@
 use crate::route_table::EngineModel;
 
 /// Interval between checks for orders to send.
-const TICK_MS: u64 = 300;
+const PLACEMENT_INTERVAL_MS: u64 = 300;
 /// How long the endpoint list must be unchanged before the first orders are sent: engines register
 /// one after another at startup, and a plan for all of them is better.
 const SETTLE_MS: u64 = 900;
 /// Timeout of a lease call to the store.
-const LEASE_CALL_MS: u64 = 600;
+const LEASE_CALL_TIMEOUT_MS: u64 = 600;
 /// Timeout for the report of an engine before it is moved.
 const REPORT_TIMEOUT_MS: u64 = 200;
 /// Times of the lease: short, because no engine gets layers while nobody holds it. The holder
 /// keeps it only while there are orders to send.
-const LEASE_TIMES: LeaseTiming = LeaseTiming {
+const LEASE_TIMING: LeaseTiming = LeaseTiming {
     lease_ms: 3_000,
     margin_ms: 300,
     renew_ms: 1_000,
@@ -39,7 +39,7 @@
     retry_ms: 200,
 };
 /// How long the lease is kept after the last order, in case more orders follow.
-const LEASE_KEEP_MS: u64 = 4_000;
+const IDLE_LEASE_TTL_MS: u64 = 4_000;
 
 struct PlacementTask {
     lease: Lease,
@@ -56,7 +56,7 @@
 {
     let mut tasks: IndexMap<ServiceName, PlacementTask> = IndexMap::new();
     loop {
-        sleep(Duration::from_millis(TICK_MS)).await;
+        sleep(Duration::from_millis(PLACEMENT_INTERVAL_MS)).await;
         let Some(table) = node.routes() else {
             continue;
         };
@@ -79,7 +79,7 @@
     fn new<A>(node: &Node<A>, service: &ServiceName) -> Self {
         let instance = node.settings.instance.clone();
         Self {
-            lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMES),
+            lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMING),
             placement: PlacementPlanner::default(),
             last_order_ms: None,
             seen_engines: 0,
@@ -123,7 +123,7 @@
         }
         let is_recent = self
             .last_order_ms
-            .is_some_and(|at_ms| now_ms < at_ms + LEASE_KEEP_MS);
+            .is_some_and(|at_ms| now_ms < at_ms + IDLE_LEASE_TTL_MS);
         self.set_lease_wanted(node, service, is_first && is_recent);
         self.maintain_lease(node, service).await;
         let held = self
@@ -184,7 +184,7 @@
     {
         self.check_holder(node, service);
         while let Some(call) = self.lease.due(boot_ms()) {
-            let result = call_table(node.adapter.store(), &call, LEASE_CALL_MS).await;
+            let result = call_table(node.adapter.store(), &call, LEASE_CALL_TIMEOUT_MS).await;
             let is_ok = result.is_ok();
             match self.lease.answered(result, boot_ms()) {
                 Some(LeaseEvent::Taken { fence }) => {
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -22,11 +22,11 @@
 /// normal operation.
 const ENDPOINTS_PAUSE_MS: u64 = 250;
 /// Pause after a failed call.
-const RETRY_MS: u64 = 250;
+const RETRY_INTERVAL_MS: u64 = 250;
 /// Pause after a failed call at an instance that reads in place of its zone's usual readers. While
 /// the store is unreachable, all instances of a zone start reading one after another; hundreds of
 /// them must not overload the store when it recovers.
-const SUBSTITUTE_RETRY_MS: u64 = 1_000;
+const SUBSTITUTE_RETRY_INTERVAL_MS: u64 = 1_000;
 
 /// Keeps the route table up to date until the process exits.
 pub(crate) async fn follow_table<A>(node: Rc<Node<A>>)
@@ -58,7 +58,7 @@
                 if matches!(failure, FeedFailure::Malformed(_)) {
                     position = None;
                 }
-                sleep(Duration::from_millis(retry_ms(&node))).await;
+                sleep(Duration::from_millis(retry_interval_ms(&node))).await;
             }
         }
     }
@@ -74,14 +74,14 @@
     must_wait
 }
 
-fn retry_ms<A>(node: &Node<A>) -> u64
+fn retry_interval_ms<A>(node: &Node<A>) -> u64
 where
     A: Adapter,
 {
     if node.peers.borrow().is_top_ranked_in_zone(boot_ms()) {
-        RETRY_MS
+        RETRY_INTERVAL_MS
     } else {
-        SUBSTITUTE_RETRY_MS
+        SUBSTITUTE_RETRY_INTERVAL_MS
     }
 }
 
@@ -140,7 +140,7 @@
                 if matches!(failure, FeedFailure::Malformed(_)) {
                     position = None;
                 }
-                retry_ms(&node)
+                retry_interval_ms(&node)
             }
         };
         sleep(Duration::from_millis(pause_ms)).await;
@@ -153,12 +153,12 @@
     A: Adapter,
 {
     let now_ms = boot_ms();
-    let was_away = node.store.get().is_unavailable(now_ms);
+    let after_outage = node.store.get().is_unavailable(now_ms);
     let applied = list_sync::apply_read(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
         read,
-        was_away,
+        after_outage,
         sent_ms,
         now_ms,
     );
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -67,7 +67,7 @@
     let uri = request.uri();
     let query = uri.query().unwrap_or("");
     match node.adapter.match_local_page(uri.path(), query) {
-        Some(page) => own_page(&node, &page),
+        Some(page) => serve_local_page(&node, &page),
         None => {
             let open = OpenRequest::begin(&node);
             let response = relay(&node, request).await;
@@ -83,7 +83,7 @@
     Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
 }
 
-fn own_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
+fn serve_local_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
 where
     A: Adapter,
 {
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -168,8 +168,8 @@
             .peers
             .borrow()
             .store_reader_view(reads, answered_ms, now_ms);
-        let waits = !self.are_records_loaded.get() && view.awaits_records(now_ms);
-        let should_read = view.should_read(now_ms) && !waits;
+        let must_wait = !self.are_records_loaded.get() && view.awaits_records(now_ms);
+        let should_read = view.should_read(now_ms) && !must_wait;
         if should_read == reads {
             return;
         }
@@ -330,7 +330,7 @@
         );
         self.counters.count("relay.endpoints.left_out");
         if failure.loses_requests() {
-            self.announce_unsound(endpoint);
+            self.announce_unhealthy(endpoint);
         }
     }
 
@@ -401,7 +401,7 @@
     }
 
     /// Announces to streams and peers that an endpoint is unhealthy.
-    fn announce_unsound(&self, endpoint: &EndpointId) {
+    fn announce_unhealthy(&self, endpoint: &EndpointId) {
         if let Some(known) = self.fleet.borrow().get(endpoint) {
             self.upstreams.discard(known.listed.address);
         }
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -19,12 +19,12 @@
 where
     A: Adapter,
 {
-    /// Applies the pacing in a response of an endpoint, and logs changes. Peers are told of a limit.
-    pub(super) fn apply_pacing(&self, endpoint: &EndpointId, said: Pacing) {
+    /// Applies the pacing in a response of an endpoint, and logs changes. Limits are announced to peers.
+    pub(super) fn apply_pacing(&self, endpoint: &EndpointId, announced: Pacing) {
         let now_ms = boot_ms();
         let mut fleet = self.fleet.borrow_mut();
-        let changes = fleet.apply_pacing(endpoint, said, now_ms);
-        let has_news = fleet.pacing.has_unsent_updates();
+        let changes = fleet.apply_pacing(endpoint, announced, now_ms);
+        let has_updates = fleet.pacing.has_unsent_updates();
         drop(fleet);
         if changes.is_empty() {
             return;
@@ -39,7 +39,7 @@
             self.heartbeat_due.notify_one();
         }
         self.update_limit_shares(now_ms);
-        if has_news {
+        if has_updates {
             self.request_heartbeat();
         }
     }
@@ -52,14 +52,14 @@
         now_ms: u64,
     ) {
         let mut has_changed = false;
-        for told in limits {
+        for report in limits {
             let mut fleet = self.fleet.borrow_mut();
-            if fleet.pacing.apply_reports(told, now_ms) {
+            if fleet.pacing.apply_reports(report, now_ms) {
                 has_changed = true;
                 log::info!(
-                    endpoint = told.endpoint.as_str(),
-                    now_per_s = told.limit_per_s,
-                    age_ms = told.age_ms,
+                    endpoint = report.endpoint.as_str(),
+                    now_per_s = report.limit_per_s,
+                    age_ms = report.age_ms,
                     peer = peer.as_str();
                     "peer reports an endpoint's rate limit"
                 );
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -24,7 +24,7 @@
 /// Key prefix of withheld requests; the digest follows.
 const WITHHELD_PREFIX: &str = "quarantine/withheld/";
 /// Maximum number of rows read: far more than are withheld at a time.
-const ROWS_LIMIT: u32 = 500;
+const MAX_ROWS: u32 = 500;
 
 /// The row of a withheld request.
 #[derive(Debug, Serialize, Deserialize)]
@@ -66,12 +66,16 @@
 where
     A: Adapter,
 {
-    let ask = ScanRows {
+    let query = ScanRows {
         prefix: PREFIX.to_owned(),
         after: None,
-        limit: ROWS_LIMIT,
+        limit: MAX_ROWS,
     };
-    let found = node.adapter.store().scan(&ask, REGISTER_TIMEOUT_MS).await?;
+    let found = node
+        .adapter
+        .store()
+        .scan(&query, REGISTER_TIMEOUT_MS)
+        .await?;
     let crashes: Vec<CrashReport> = found.rows.iter().flat_map(crashes_from_row).collect();
     let evidence = EvidenceReport {
         crashes,
--- a/src/relay_server/run.rs
+++ b/src/relay_server/run.rs
@@ -28,11 +28,11 @@
 /// Timeout for the arrival of a request's head.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 /// Interval between sweeps of idle connections and of endpoints' pauses.
-const SWEEP_MS: u64 = 200;
+const SWEEP_INTERVAL_MS: u64 = 200;
 /// Interval between probes of an engine that was slow.
-const SLOW_CHECK_MS: u64 = 1_000;
+const SLOW_CHECK_INTERVAL_MS: u64 = 1_000;
 /// Interval between checks whether a stop is complete.
-const STOP_POLL_MS: u64 = 50;
+const STOP_POLL_INTERVAL_MS: u64 = 50;
 /// Part of the stop's time limit reserved for process exit.
 const STOP_MARGIN_MS: u64 = 300;
 
@@ -191,7 +191,7 @@
             }
             Err(error) => {
                 log::warn!(error:% = error; "cannot accept a connection");
-                sleep(Duration::from_millis(SWEEP_MS)).await;
+                sleep(Duration::from_millis(SWEEP_INTERVAL_MS)).await;
             }
         }
     }
@@ -203,9 +203,9 @@
 {
     let mut slow_checked_ms = 0;
     loop {
-        sleep(Duration::from_millis(SWEEP_MS)).await;
+        sleep(Duration::from_millis(SWEEP_INTERVAL_MS)).await;
         let now_ms = boot_ms();
-        if now_ms >= slow_checked_ms + SLOW_CHECK_MS {
+        if now_ms >= slow_checked_ms + SLOW_CHECK_INTERVAL_MS {
             slow_checked_ms = now_ms;
             checks::check_slow(&node).await;
         }
@@ -232,7 +232,7 @@
     let linger_ms = bounds.locate_lifetime_ms + 500;
     let end_ms = since_ms + bounds.stop_limit_ms.saturating_sub(STOP_MARGIN_MS);
     loop {
-        sleep(Duration::from_millis(STOP_POLL_MS)).await;
+        sleep(Duration::from_millis(STOP_POLL_INTERVAL_MS)).await;
         let now_ms = boot_ms();
         let open = node.open_requests.get();
         let is_idle = open == 0 && now_ms >= since_ms + linger_ms;
--- a/src/relay_server/start_wait.rs
+++ b/src/relay_server/start_wait.rs
@@ -11,7 +11,7 @@
 /// Longest wait of a request for the route table and the endpoint list at a process that has just
 /// started. They usually arrive sooner, even when all instances have started at once; a caller that
 /// is refused instead retries long after its response was due.
-const START_WAIT_MS: u64 = 250;
+const START_WAIT_TIMEOUT_MS: u64 = 250;
 
 impl<A> Node<A> {
     /// Whether the route table and the endpoint list are known.
@@ -32,7 +32,7 @@
         if *informed.borrow() || now_ms >= self.started_ms + STARTUP_MS {
             return;
         }
-        let limit = Duration::from_millis(START_WAIT_MS);
+        let limit = Duration::from_millis(START_WAIT_TIMEOUT_MS);
         let is_informed = informed.wait_for(|is_informed| *is_informed);
         if timeout(limit, is_informed).await.is_err() {
             log::debug!("route table and endpoint list did not arrive in time for a request");
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -21,13 +21,13 @@
 }
 
 /// Starts an endpoint that answers each connection with these bytes.
-fn endpoint(answer: &'static [u8], end: ConnectionEnd) -> SocketAddr {
+fn endpoint(response: &'static [u8], end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
         let mut kept = Vec::new();
         for stream in listener.incoming() {
-            let mut stream = stream.expect("a connection comes");
+            let mut stream = stream.expect("connections are accepted");
             let mut request = [0; 4_096];
             // Closing a connection with unread data makes the kernel send a reset.
             let read = if matches!(end, ConnectionEnd::Reset) {
@@ -36,7 +36,7 @@
                 request.len()
             };
             let _ = stream.read(&mut request[..read]);
-            stream.write_all(answer).expect("the router reads");
+            stream.write_all(response).expect("the router reads");
             match end {
                 ConnectionEnd::Close => drop(stream.shutdown(Shutdown::Both)),
                 ConnectionEnd::Reset => {
@@ -51,20 +51,20 @@
 }
 
 /// Sends a request and returns the response body if it is complete.
-async fn fetch(answer: &'static [u8], end: ConnectionEnd) -> Result<Vec<u8>, UpstreamFailure> {
-    let address = endpoint(answer, end);
+async fn fetch(response: &'static [u8], end: ConnectionEnd) -> Result<Vec<u8>, UpstreamFailure> {
+    let address = endpoint(response, end);
     let upstreams = UpstreamPool::new();
     let head = RequestHead::default();
     let exchange = upstreams
         .send(address, head, Bytes::new(), 0, || true)
         .await?;
     let (_, mut body) = exchange.head().await?;
-    let mut whole = Vec::new();
+    let mut received = Vec::new();
     while let Some(bytes) = body.next().await? {
-        whole.extend_from_slice(&bytes);
+        received.extend_from_slice(&bytes);
     }
     upstreams.release(body, None, 0);
-    Ok(whole)
+    Ok(received)
 }
 
 #[actix_rt::test]
@@ -130,8 +130,8 @@
         let exchange = upstreams
             .send(address, RequestHead::default(), Bytes::new(), 0, || true)
             .await;
-        let (_, mut body) = exchange.expect("sent").head().await.expect("an answer");
-        while body.next().await.expect("whole").is_some() {}
+        let (_, mut body) = exchange.expect("sent").head().await.expect("a response");
+        while body.next().await.expect("a complete body").is_some() {}
         upstreams.release(body, None, 0);
         assert!(!upstreams.has_idle(address));
     }
@@ -174,27 +174,30 @@
 
 #[test]
 fn peers_are_asked_only_for_what_the_store_does_not_deliver() {
-    let wanting = |behind_since_ms, store_answers, list_age_ms| {
-        let knowledge = SyncState {
+    let needs_fetch = |behind_since_ms, store_answers, list_age_ms| {
+        let state = SyncState {
             behind_since_ms,
             reads_store: true,
             is_fed: store_answers,
             list_age_ms,
         };
-        knowledge.needs_fetch(10_000)
+        state.needs_fetch(10_000)
     };
-    assert!(!wanting(None, true, 3_650), "nothing has changed");
-    assert!(wanting(None, false, 3_650));
-    assert!(!wanting(None, false, 2_900));
-    assert!(wanting(Some(9_400), true, 0));
-    assert!(!wanting(Some(9_600), true, 0), "its own watch brings it");
-    let told = SyncState {
+    assert!(!needs_fetch(None, true, 3_650), "nothing has changed");
+    assert!(needs_fetch(None, false, 3_650));
+    assert!(!needs_fetch(None, false, 2_900));
+    assert!(needs_fetch(Some(9_400), true, 0));
+    assert!(
+        !needs_fetch(Some(9_600), true, 0),
+        "its own watch delivers it"
+    );
+    let fed_by_zone = SyncState {
         behind_since_ms: Some(10_000),
         reads_store: false,
         is_fed: true,
         list_age_ms: 0,
     };
-    assert!(told.needs_fetch(10_000), "nothing else brings it");
+    assert!(fed_by_zone.needs_fetch(10_000), "nothing else delivers it");
 }
 
 #[test]
--- a/src/relay_server/withholding.rs
+++ b/src/relay_server/withholding.rs
@@ -72,7 +72,7 @@
         source: &'static str,
         now_ms: u64,
     ) {
-        // `is_among_first` iterates over all peers.
+        // `is_top_ranked_in_zone` iterates over all peers.
         if evidence.is_empty() {
             return;
         }
