--- a/src/quarantine/digest_tests.rs
+++ b/src/quarantine/digest_tests.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same.
+//! Tests of request digests.
 
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -8,7 +8,7 @@
 use crate::ids::AccountId;
 
 fn key(seed: u64) -> DigestKey {
-    DigestKey::draw(&mut SmallRng::seed_from_u64(seed))
+    DigestKey::generate(&mut SmallRng::seed_from_u64(seed))
 }
 
 fn digest_of(account: Option<&str>, path: &str, body: &[u8]) -> RequestDigest {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_request_is_the_same_by_account_path_and_body() {
+fn a_digest_covers_account_path_and_body() {
     let digest = digest_of(Some("lac-bistro"), "/draft/x?a=1", b"{\"a\": 1}");
     assert_eq!(
         digest,
@@ -34,14 +34,14 @@
         digest_of(Some("marsa-grill"), "/draft/x?a=1", b"{\"a\": 1}"),
         digest_of(None, "/draft/x?a=1", b"{\"a\": 1}"),
         digest_of(Some("lac-bistro"), "/draft/x?a=2", b"{\"a\": 1}"),
-        // The same to a reader of it, but another body to whoever runs it.
+        // Equivalent JSON, but a different sequence of bytes.
         digest_of(Some("lac-bistro"), "/draft/x?a=1", b"{\"a\":1}"),
     ];
     assert!(others.iter().all(|other| *other != digest));
 }
 
 #[test]
-fn a_digest_says_nothing_to_those_without_the_key() {
+fn a_digest_depends_on_a_secret_key() {
     let parts = RequestParts {
         account: None,
         method: "POST",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn keys_and_digests_are_read_as_they_were_written() {
+fn keys_and_digests_round_trip() {
     assert_eq!(DigestKey::from_hex(&key(1).to_hex()), Some(key(1)));
     assert_eq!(DigestKey::from_hex("abcd"), None);
     let digest = digest_of(None, "/", b"");
@@ -63,7 +63,7 @@
 }
 
 proptest! {
-    // Whoever chooses path and body must not be able to make them another request's.
+    // A caller that chooses path and body must not be able to get another request's digest.
     #[test]
     fn parts_cannot_be_shifted_into_one_another(path in "[a-z/]{1,8}", body in "[a-z/]{0,8}", cut in 0_usize..8) {
         let cut = cut.min(body.len());
--- a/src/quarantine/ledger.rs
+++ b/src/quarantine/ledger.rs
@@ -1,37 +1,38 @@
-//! The evidence against requests, own and told, and what follows from it.
+//! Evidence against requests, from this instance and its peers, and the resulting quarantine.
 
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
 use super::cleared::Cleared;
-use super::pending::{BrokenRun, Pending};
-use super::verdict::{Death, Deaths, ENDS_TO_WITHHOLD, withheld};
+use super::pending::{BrokenRun, PendingRuns};
+use super::verdict::{CRASHES_TO_WITHHOLD, Crash, Crashes, withheld};
 use super::{ClearanceReport, CrashReport, EndpointLiveness, RequestDigest, RunStage};
 use crate::dissemination::Rotation;
 use crate::ids::EndpointId;
 
-/// How long evidence counts after the newest end under a request. A caller who comes again within it
-/// finds the request still withheld; one wrongly withheld, whose answers are all forgotten, waits no
-/// longer.
+/// How long evidence counts after the newest crash under a request. A retry within this time is
+/// still withheld; a request that is withheld wrongly, and whose responses are no longer remembered,
+/// is withheld no longer than this.
 pub(crate) const EVIDENCE_TTL_MS: u64 = 600_000;
-/// Requests under suspicion that are remembered.
-const MOST_SUSPECTS: usize = 1_024;
-/// Ends that are remembered of one request.
-const MOST_DEATHS: usize = 16;
-/// How often news is told, in heartbeats: some may be lost.
-const TELLINGS: u8 = 4;
-/// News in one heartbeat; with some forty bytes each, it still fits one packet.
-const MOST_NEWS: usize = 16;
-/// Evidence against withheld requests in one heartbeat, in turn, so that instances that start or were cut
-/// off learn it from any other.
-const MOST_REMINDERS: usize = 2;
+/// Maximum number of suspected requests that are kept.
+const MAX_SUSPECTS: usize = 1_024;
+/// Maximum number of crashes kept per request.
+const MAX_CRASHES: usize = 16;
+/// Number of heartbeats that carry each update, since some may be lost.
+const SENDS_PER_UPDATE: u8 = 4;
+/// Maximum number of updates in a heartbeat; at about 40 bytes each, it still fits in one packet.
+const MAX_UPDATES: usize = 16;
+/// Maximum number of reminders in a heartbeat: evidence against withheld requests, sent in rotation so
+/// that instances that start or were partitioned learn it from any other instance.
+const MAX_REMINDERS: usize = 2;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineStatus {
-    /// Nothing speaks against it.
+    /// It may be sent.
     Allowed,
-    /// It will be known within milliseconds whether one endpoint too many has ended under it.
+    /// A pending run, whose outcome is expected within milliseconds, may show the crash that has it
+    /// withheld.
     Undecided,
     /// It is withheld.
     Withheld,
@@ -40,20 +41,20 @@
 /// A change in what is withheld.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum QuarantineChange {
-    /// A request is withheld from now on, since these endpoints have ended under it.
+    /// A request is withheld from now on, because these endpoints have crashed under it.
     Withheld(RequestDigest, Vec<EndpointId>),
-    /// A request is not withheld any more.
-    Free(RequestDigest),
+    /// A request is no longer withheld.
+    Released(RequestDigest),
 }
 
-/// News that is still to be told.
+/// An update that is still to be sent to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum News {
-    Death(RequestDigest, EndpointId),
+enum Update {
+    Crash(RequestDigest, EndpointId),
     Cleared(RequestDigest),
 }
 
-/// What is told to peers in one heartbeat.
+/// The evidence in one heartbeat to peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EvidenceReport {
     pub(crate) crashes: Vec<CrashReport>,
@@ -61,26 +62,28 @@
 }
 
 impl EvidenceReport {
-    /// Whether it says nothing, as nearly all heartbeats do.
+    /// Whether it is empty, as in nearly all heartbeats.
     pub(crate) fn is_empty(&self) -> bool {
         self.crashes.is_empty() && self.clearances.is_empty()
     }
 }
 
-/// Requests under suspicion, and those that are withheld. Invariants: a request that was cleared, since an
-/// endpoint went on under it, is not withheld while that is remembered; one is withheld only while three
-/// ends of endpoints that no other withheld request explains are put down to it; memory is bounded
-/// whatever callers and peers send.
+/// Suspected requests, and those that are withheld.
+///
+/// Invariants: a request that was cleared, because an endpoint survived it, is not withheld while the
+/// clearance is remembered; a request is withheld only while at least three crashes that no other
+/// withheld request explains are attributed to it; memory is bounded whatever callers and peers send.
 #[derive(Debug, Default)]
 pub(crate) struct Quarantine {
-    pending: Pending,
-    /// Those with fewer ends are forgotten first, of several the one whose newest is oldest.
-    suspects: IndexMap<RequestDigest, Deaths>,
+    pending: PendingRuns,
+    /// The request with the fewest crashes is evicted first; among equals, the one whose newest crash
+    /// is oldest.
+    suspects: IndexMap<RequestDigest, Crashes>,
     cleared: Cleared,
     withheld: IndexMap<RequestDigest, Vec<EndpointId>>,
-    news: IndexMap<News, u8>,
-    /// How far the turn of reminders has come.
-    reminded: Rotation,
+    updates: IndexMap<Update, u8>,
+    /// Position in the rotation of reminders.
+    reminder_rotation: Rotation,
 }
 
 impl Quarantine {
@@ -92,26 +95,30 @@
         if self.cleared.at_ms(digest).is_some() {
             return QuarantineStatus::Allowed;
         }
-        let deaths = self.suspects.get(digest);
-        let is_new = |id: &&EndpointId| deaths.is_none_or(|deaths| !deaths.contains_key(*id));
-        let open = self.pending.fresh_of(digest, now_ms).filter(is_new).count();
-        let known = deaths.map_or(0, IndexMap::len);
-        // A request that brings nobody down breaks off here and there, too: it is held back only where
-        // the open one would decide.
-        if open > 0 && known + open >= ENDS_TO_WITHHOLD {
+        let crashes = self.suspects.get(digest);
+        let is_new = |id: &&EndpointId| crashes.is_none_or(|crashes| !crashes.contains_key(*id));
+        let pending = self
+            .pending
+            .recent_endpoints(digest, now_ms)
+            .filter(is_new)
+            .count();
+        let known = crashes.map_or(0, IndexMap::len);
+        // Runs of harmless requests break off occasionally, too: a request is held back only if the
+        // pending run would be decisive.
+        if pending > 0 && known + pending >= CRASHES_TO_WITHHOLD {
             QuarantineStatus::Undecided
         } else {
             QuarantineStatus::Allowed
         }
     }
 
-    /// How many requests are withheld.
+    /// Number of requests that are withheld.
     pub(crate) fn withheld_count(&self) -> usize {
         self.withheld.len()
     }
 
-    /// Takes that a run of a request broke off at an endpoint of which it is not known yet whether it
-    /// has ended.
+    /// Records that a run of a request broke off at an endpoint of which it is not known yet whether it
+    /// has terminated.
     pub(crate) fn record_broken_run(
         &mut self,
         digest: RequestDigest,
@@ -123,115 +130,123 @@
             stage,
             at_ms: now_ms,
         };
-        self.pending.note(digest, endpoint, run);
+        self.pending.record(digest, endpoint, run);
     }
 
-    /// Takes what is known by now of endpoints at which runs broke off. `fate` is asked for an endpoint
-    /// and the time at which a run broke off there.
-    pub(crate) fn update<F>(&mut self, now_ms: u64, fate: F) -> Vec<QuarantineChange>
+    /// Resolves pending runs and drops expired evidence. `liveness` gets an endpoint and the time at
+    /// which a run broke off there.
+    pub(crate) fn update<F>(&mut self, now_ms: u64, liveness: F) -> Vec<QuarantineChange>
     where
         F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
-        let ended = self.pending.settle(now_ms, fate);
-        let lapsed = self.drop_lapsed(now_ms);
-        if ended.is_empty() && !lapsed {
+        let ended = self.pending.resolve(now_ms, liveness);
+        let has_expired = self.drop_expired(now_ms);
+        if ended.is_empty() && !has_expired {
             return Vec::new();
         }
         for (digest, endpoint, run) in ended {
-            let death = Death {
+            let crash = Crash {
                 stage: run.stage,
                 at_ms: run.at_ms,
             };
-            if self.note_death(digest, &endpoint, death) {
-                self.tell(News::Death(digest, endpoint));
+            if self.record_crash(digest, &endpoint, crash) {
+                self.announce(Update::Crash(digest, endpoint));
             }
         }
-        self.judge()
+        self.reevaluate()
     }
 
-    /// Takes that an endpoint went on under a request: it was answered whole, or a run of it is past its
-    /// beginning. Such a request does not end whatever runs it.
+    /// Records that an endpoint survived a request: the response was complete, or a run has passed its
+    /// startup phase. Such a request does not crash every endpoint that runs it.
     pub(crate) fn clear(&mut self, digest: RequestDigest, now_ms: u64) -> Vec<QuarantineChange> {
-        self.cleared.note(digest, now_ms, now_ms);
+        self.cleared.record(digest, now_ms, now_ms);
         if self.suspects.swap_remove(&digest).is_none() {
             return Vec::new();
         }
-        self.tell(News::Cleared(digest));
-        self.judge()
+        self.announce(Update::Cleared(digest));
+        self.reevaluate()
     }
 
-    /// Takes evidence that a peer tells. What is new is told on if `relays`.
+    /// Applies evidence that a peer has reported. New evidence is forwarded if `relays` is set.
     pub(crate) fn apply_report(
         &mut self,
-        told: &EvidenceReport,
+        report: &EvidenceReport,
         relays: bool,
         now_ms: u64,
     ) -> Vec<QuarantineChange> {
-        let mut is_news = false;
-        for word in &told.clearances {
-            let at_ms = now_ms.saturating_sub(u64::from(word.age_ms));
-            let is_new = self.cleared.at_ms(&word.digest).is_none();
-            self.cleared.note(word.digest, at_ms, now_ms);
-            is_news |= self.suspects.swap_remove(&word.digest).is_some();
+        let mut has_new_evidence = false;
+        for clearance in &report.clearances {
+            let at_ms = now_ms.saturating_sub(u64::from(clearance.age_ms));
+            let is_new = self.cleared.at_ms(&clearance.digest).is_none();
+            self.cleared.record(clearance.digest, at_ms, now_ms);
+            has_new_evidence |= self.suspects.swap_remove(&clearance.digest).is_some();
             if is_new && relays {
-                self.tell(News::Cleared(word.digest));
+                self.announce(Update::Cleared(clearance.digest));
             }
         }
-        for told in &told.crashes {
-            let age_ms = u64::from(told.age_ms);
+        for crash_report in &report.crashes {
+            let age_ms = u64::from(crash_report.age_ms);
             if age_ms >= EVIDENCE_TTL_MS {
                 continue;
             }
-            if self.cleared.at_ms(&told.digest).is_some() {
-                // The peer does not know that an endpoint went on under it.
-                self.tell(News::Cleared(told.digest));
+            if self.cleared.at_ms(&crash_report.digest).is_some() {
+                // The peer does not know that an endpoint survived it.
+                self.announce(Update::Cleared(crash_report.digest));
                 continue;
             }
-            let death = Death {
-                stage: told.stage,
+            let crash = Crash {
+                stage: crash_report.stage,
                 at_ms: now_ms.saturating_sub(age_ms),
             };
-            if self.note_death(told.digest, &told.endpoint, death) {
-                is_news = true;
+            if self.record_crash(crash_report.digest, &crash_report.endpoint, crash) {
+                has_new_evidence = true;
                 if relays {
-                    self.tell(News::Death(told.digest, told.endpoint.clone()));
+                    self.announce(Update::Crash(
+                        crash_report.digest,
+                        crash_report.endpoint.clone(),
+                    ));
                 }
             }
         }
-        if is_news { self.judge() } else { Vec::new() }
+        if has_new_evidence {
+            self.reevaluate()
+        } else {
+            Vec::new()
+        }
     }
 
-    /// Whether there is news that peers should hear at once.
+    /// Whether there are updates that have not been sent yet and should be sent at once.
     pub(crate) fn has_unsent_updates(&self) -> bool {
-        self.news.values().any(|left| *left == TELLINGS)
+        self.updates.values().any(|left| *left == SENDS_PER_UPDATE)
     }
 
-    /// What the next heartbeat tells: news a few times, then the evidence against withheld requests in
-    /// turn.
+    /// The evidence for the next heartbeat: updates, each of them several times, and reminders of
+    /// withheld requests in rotation.
     pub(crate) fn next_report(&mut self, now_ms: u64) -> EvidenceReport {
-        let mut told = EvidenceReport::default();
-        let named: Vec<News> = self.news.keys().take(MOST_NEWS).cloned().collect();
-        for news in &named {
-            if let Some(left) = self.news.get_mut(news) {
+        let mut report = EvidenceReport::default();
+        let batch: Vec<Update> = self.updates.keys().take(MAX_UPDATES).cloned().collect();
+        for update in &batch {
+            if let Some(left) = self.updates.get_mut(update) {
                 *left -= 1;
             }
-            match news {
-                News::Death(digest, endpoint) => {
-                    told.crashes
-                        .extend(self.told_death(digest, endpoint, now_ms));
+            match update {
+                Update::Crash(digest, endpoint) => {
+                    report
+                        .crashes
+                        .extend(self.crash_report(digest, endpoint, now_ms));
                 }
-                News::Cleared(digest) => {
+                Update::Cleared(digest) => {
                     let at_ms = self.cleared.at_ms(digest);
-                    told.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
+                    report.clearances.extend(at_ms.map(|at_ms| ClearanceReport {
                         digest: *digest,
                         age_ms: age_ms(at_ms, now_ms),
                     }));
                 }
             }
         }
-        self.news.retain(|_, left| *left > 0);
-        told.crashes.extend(self.reminders(now_ms));
-        told
+        self.updates.retain(|_, left| *left > 0);
+        report.crashes.extend(self.reminders(now_ms));
+        report
     }
 
     fn reminders(&mut self, now_ms: u64) -> Vec<CrashReport> {
@@ -239,76 +254,78 @@
             .withheld
             .iter()
             .flat_map(|(digest, endpoints)| {
-                // Three are enough to have it withheld elsewhere.
-                let enough = endpoints.iter().take(ENDS_TO_WITHHOLD);
-                enough.map(move |endpoint| (digest, endpoint))
+                // These are enough to have it withheld elsewhere.
+                let sufficient = endpoints.iter().take(CRASHES_TO_WITHHOLD);
+                sufficient.map(move |endpoint| (digest, endpoint))
             })
             .collect();
-        let turn = self.reminded.next_batch(&all, MOST_REMINDERS);
-        turn.filter_map(|(digest, endpoint)| self.told_death(digest, endpoint, now_ms))
+        let batch = self.reminder_rotation.next_batch(&all, MAX_REMINDERS);
+        batch
+            .filter_map(|(digest, endpoint)| self.crash_report(digest, endpoint, now_ms))
             .collect()
     }
 
-    fn told_death(
+    fn crash_report(
         &self,
         digest: &RequestDigest,
         endpoint: &EndpointId,
         now_ms: u64,
     ) -> Option<CrashReport> {
-        let death = self.suspects.get(digest)?.get(endpoint)?;
+        let crash = self.suspects.get(digest)?.get(endpoint)?;
         Some(CrashReport {
             digest: *digest,
             endpoint: endpoint.clone(),
-            stage: death.stage,
-            age_ms: age_ms(death.at_ms, now_ms),
+            stage: crash.stage,
+            age_ms: age_ms(crash.at_ms, now_ms),
         })
     }
 
-    fn tell(&mut self, news: News) {
-        if self.news.len() < MOST_SUSPECTS {
-            self.news.entry(news).or_insert(TELLINGS);
+    fn announce(&mut self, update: Update) {
+        if self.updates.len() < MAX_SUSPECTS {
+            self.updates.entry(update).or_insert(SENDS_PER_UPDATE);
         }
     }
 
-    /// Returns whether this says more than was known: another end, or that a run had done less. Of several
-    /// runs of a request at one endpoint the one that had done least counts, whoever's word comes first.
-    fn note_death(&mut self, digest: RequestDigest, endpoint: &EndpointId, death: Death) -> bool {
+    /// Records a crash. Returns whether it adds to the evidence: another endpoint, or a run that had done
+    /// less. Of several runs of a request at one endpoint, the one that had done least counts, in
+    /// whichever order they are reported.
+    fn record_crash(&mut self, digest: RequestDigest, endpoint: &EndpointId, crash: Crash) -> bool {
         if self.cleared.at_ms(&digest).is_some() {
             return false;
         }
-        if !self.suspects.contains_key(&digest) && self.suspects.len() >= MOST_SUSPECTS {
-            self.forget_least();
+        if !self.suspects.contains_key(&digest) && self.suspects.len() >= MAX_SUSPECTS {
+            self.evict_weakest();
         }
-        let deaths = self.suspects.entry(digest).or_default();
-        let count = deaths.len();
-        match deaths.get_mut(endpoint) {
-            Some(known) if death.stage.rank() < known.stage.rank() => known.stage = death.stage,
+        let crashes = self.suspects.entry(digest).or_default();
+        let count = crashes.len();
+        match crashes.get_mut(endpoint) {
+            Some(known) if crash.stage.rank() < known.stage.rank() => known.stage = crash.stage,
             Some(_) => return false,
-            None if count >= MOST_DEATHS => return false,
-            None => drop(deaths.insert(endpoint.clone(), death)),
+            None if count >= MAX_CRASHES => return false,
+            None => drop(crashes.insert(endpoint.clone(), crash)),
         }
         true
     }
 
-    fn forget_least(&mut self) {
-        let least = self
+    fn evict_weakest(&mut self) {
+        let weakest = self
             .suspects
             .iter()
-            .min_by_key(|(_, deaths)| (deaths.len(), newest_ms(deaths)));
-        if let Some(least) = least.map(|(digest, _)| *digest) {
-            self.suspects.swap_remove(&least);
+            .min_by_key(|(_, crashes)| (crashes.len(), newest_ms(crashes)));
+        if let Some(weakest) = weakest.map(|(digest, _)| *digest) {
+            self.suspects.swap_remove(&weakest);
         }
     }
 
-    /// Forgets evidence that is too old; returns whether there was any.
-    fn drop_lapsed(&mut self, now_ms: u64) -> bool {
+    /// Drops expired evidence; returns whether there was any.
+    fn drop_expired(&mut self, now_ms: u64) -> bool {
         let before = self.suspects.len();
         self.suspects
-            .retain(|_, deaths| now_ms < newest_ms(deaths) + EVIDENCE_TTL_MS);
+            .retain(|_, crashes| now_ms < newest_ms(crashes) + EVIDENCE_TTL_MS);
         self.suspects.len() < before
     }
 
-    fn judge(&mut self) -> Vec<QuarantineChange> {
+    fn reevaluate(&mut self) -> Vec<QuarantineChange> {
         let suspects = self.suspects.iter();
         let now = withheld(suspects);
         let mut changes: Vec<QuarantineChange> = Vec::new();
@@ -318,15 +335,15 @@
             }
         }
         for digest in self.withheld.keys().filter(|it| !now.contains_key(*it)) {
-            changes.push(QuarantineChange::Free(*digest));
+            changes.push(QuarantineChange::Released(*digest));
         }
         self.withheld = now;
         changes
     }
 }
 
-fn newest_ms(deaths: &Deaths) -> u64 {
-    deaths.values().map(|death| death.at_ms).max().unwrap_or(0)
+fn newest_ms(crashes: &Crashes) -> u64 {
+    crashes.values().map(|crash| crash.at_ms).max().unwrap_or(0)
 }
 
 fn age_ms(at_ms: u64, now_ms: u64) -> u32 {
--- a/src/quarantine/pending.rs
+++ b/src/quarantine/pending.rs
@@ -1,19 +1,18 @@
-//! Runs that broke off at endpoints of which it is not known yet whether they have ended.
+//! Runs that broke off at endpoints of which it is not known yet whether they have terminated.
 
 use indexmap::IndexMap;
 
 use super::{EndpointLiveness, RequestDigest, RunStage};
 use crate::ids::EndpointId;
 
-/// How long the end of an endpoint is waited for. A refused connection shows it within milliseconds; the
-/// list of endpoints drops one that has gone silent within some seconds.
-const FATE_MS: u64 = 6_000;
-/// How long a request is held back until it is known whether one more endpoint has ended under it.
+/// How long a run is kept until its endpoint turns out to have terminated. A refused connection shows
+/// this within milliseconds; the endpoint list drops an unresponsive one within some seconds.
+const RESOLVE_TIMEOUT_MS: u64 = 6_000;
+/// How long a request is held back until it is known whether one more endpoint has crashed under it.
 const HOLD_BACK_MS: u64 = 150;
-/// Runs that are kept: all that a few endpoints have at a time.
-const MOST_RUNS: usize = 1_024;
+/// Maximum number of runs kept: as many as a few endpoints run at a time.
+const MAX_RUNS: usize = 1_024;
 
-/// A run that broke off.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BrokenRun {
     pub(super) stage: RunStage,
@@ -22,52 +21,53 @@
 
 /// Runs that broke off, by request and endpoint.
 #[derive(Debug, Default)]
-pub(super) struct Pending {
+pub(super) struct PendingRuns {
     runs: IndexMap<(RequestDigest, EndpointId), BrokenRun>,
 }
 
-impl Pending {
-    /// Notes a run; of several of one request at one endpoint the first counts.
-    pub(super) fn note(&mut self, digest: RequestDigest, endpoint: &EndpointId, run: BrokenRun) {
-        if self.runs.len() >= MOST_RUNS {
+impl PendingRuns {
+    /// Records a run; of several runs of one request at one endpoint, the first one counts.
+    pub(super) fn record(&mut self, digest: RequestDigest, endpoint: &EndpointId, run: BrokenRun) {
+        if self.runs.len() >= MAX_RUNS {
             self.runs.shift_remove_index(0);
         }
         self.runs.entry((digest, endpoint.clone())).or_insert(run);
     }
 
-    /// Runs whose endpoints have ended; those whose endpoints live, or whose fate has been open for too
-    /// long, are forgotten.
-    pub(super) fn settle<F>(
+    /// Removes and returns runs whose endpoints have terminated. Runs whose endpoints are alive, or
+    /// have been unresolved for too long, are dropped.
+    pub(super) fn resolve<F>(
         &mut self,
         now_ms: u64,
-        fate: F,
+        liveness: F,
     ) -> Vec<(RequestDigest, EndpointId, BrokenRun)>
     where
         F: Fn(&EndpointId, u64) -> EndpointLiveness,
     {
         let mut ended = Vec::new();
-        self.runs
-            .retain(|(digest, endpoint), run| match fate(endpoint, run.at_ms) {
+        self.runs.retain(
+            |(digest, endpoint), run| match liveness(endpoint, run.at_ms) {
                 EndpointLiveness::Ended => {
                     ended.push((*digest, endpoint.clone(), *run));
                     false
                 }
                 EndpointLiveness::Alive => false,
-                EndpointLiveness::Unknown => now_ms < run.at_ms + FATE_MS,
-            });
+                EndpointLiveness::Unknown => now_ms < run.at_ms + RESOLVE_TIMEOUT_MS,
+            },
+        );
         ended
     }
 
-    /// Endpoints at which a request broke off just now.
-    pub(super) fn fresh_of(
+    /// Endpoints at which a request broke off within the last `HOLD_BACK_MS`.
+    pub(super) fn recent_endpoints(
         &self,
         digest: &RequestDigest,
         now_ms: u64,
     ) -> impl Iterator<Item = &EndpointId> {
-        let own = self
+        let recent = self
             .runs
             .iter()
             .filter(move |((of, _), run)| of == digest && now_ms < run.at_ms + HOLD_BACK_MS);
-        own.map(|((_, endpoint), _)| endpoint)
+        recent.map(|((_, endpoint), _)| endpoint)
     }
 }
--- a/src/quarantine/verdict.rs
+++ b/src/quarantine/verdict.rs
@@ -1,4 +1,4 @@
-//! Which requests the ends of endpoints are put down to.
+//! Attribution of endpoints' crashes to requests.
 
 use std::cmp::Reverse;
 
@@ -7,48 +7,51 @@
 use super::{RequestDigest, RunStage};
 use crate::ids::EndpointId;
 
-/// Ends of endpoints under one request from which on it is withheld. Two may be chance where a zone loses
-/// many endpoints at once; each more costs callers all that runs at one endpoint.
-pub(super) const ENDS_TO_WITHHOLD: usize = 3;
+/// Number of crashes under a request at which it is withheld. Two may be coincidence when a zone loses
+/// many endpoints at once; each further crash interrupts everything that runs at another endpoint.
+pub(super) const CRASHES_TO_WITHHOLD: usize = 3;
 
-/// An endpoint's end under a request.
+/// Termination of an endpoint while a request was starting to run there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Death {
+pub(super) struct Crash {
     pub(super) stage: RunStage,
     pub(super) at_ms: u64,
 }
 
-/// The ends of endpoints under one request.
-pub(super) type Deaths = IndexMap<EndpointId, Death>;
+/// The crashes under one request, by endpoint.
+pub(super) type Crashes = IndexMap<EndpointId, Crash>;
 
-/// Requests that are withheld by this evidence, with the ends that are put down to each.
+/// Requests to withhold by this evidence, with the endpoints whose crashes are attributed to each.
 ///
-/// The request with the most ends goes first, of several the one whose runs had done least; the ends that
-/// it explains count against no other, since each endpoint takes all that runs there with it. So a
-/// bystander of a crashing request is free as soon as that is known. The outcome depends on the evidence
-/// only: instances that know the same agree.
+/// The request with the most crashes is chosen first; among equals, the one whose runs had done least.
+/// The crashes that it explains do not count against any other request, since a crashing endpoint breaks
+/// off all its runs. So a bystander of a crashing request is released once that request is known. The
+/// result depends only on the evidence: instances with the same evidence agree.
 pub(super) fn withheld<'a, I>(suspects: I) -> IndexMap<RequestDigest, Vec<EndpointId>>
 where
-    I: Iterator<Item = (&'a RequestDigest, &'a Deaths)> + Clone,
+    I: Iterator<Item = (&'a RequestDigest, &'a Crashes)> + Clone,
 {
     let mut explained: IndexSet<&EndpointId> = IndexSet::new();
     let mut chosen = IndexMap::new();
     loop {
-        let open = suspects
+        let remaining = suspects
             .clone()
             .filter(|(digest, _)| !chosen.contains_key(*digest));
-        let many = open.filter(|(_, deaths)| deaths.len() >= ENDS_TO_WITHHOLD);
-        let ranked = many.filter_map(|(digest, deaths)| {
-            let own = deaths.iter().filter(|it| !explained.contains(it.0));
-            let slowest = own.clone().map(|(_, death)| death.stage.rank()).max()?;
-            let count = own.count();
-            (count >= ENDS_TO_WITHHOLD).then_some((count, Reverse(slowest), digest, deaths))
+        let candidates = remaining.filter(|(_, crashes)| crashes.len() >= CRASHES_TO_WITHHOLD);
+        let ranked = candidates.filter_map(|(digest, crashes)| {
+            let unexplained = crashes.iter().filter(|it| !explained.contains(it.0));
+            let max_rank = unexplained
+                .clone()
+                .map(|(_, crash)| crash.stage.rank())
+                .max()?;
+            let count = unexplained.count();
+            (count >= CRASHES_TO_WITHHOLD).then_some((count, Reverse(max_rank), digest, crashes))
         });
-        let worst = ranked.max_by_key(|(count, slowest, digest, _)| (*count, *slowest, **digest));
-        let Some((_, _, digest, deaths)) = worst else {
+        let worst = ranked.max_by_key(|(count, max_rank, digest, _)| (*count, *max_rank, **digest));
+        let Some((_, _, digest, crashes)) = worst else {
             return chosen;
         };
-        explained.extend(deaths.keys());
-        chosen.insert(*digest, deaths.keys().cloned().collect());
+        explained.extend(crashes.keys());
+        chosen.insert(*digest, crashes.keys().cloned().collect());
     }
 }
--- a/src/relay_server/duty.rs
+++ b/src/relay_server/duty.rs
@@ -1,4 +1,4 @@
-//! The duty to give engines their layers: one instance at a time, under a lease.
+//! Placement of model layers on engines, done by one instance at a time under a lease.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,94 +20,96 @@
 use crate::placement::{PlacedEngine, PlacementOrder, PlacementPlanner};
 use crate::route_table::EngineModel;
 
-/// Pause between two looks at what is to be ordered.
-const LOOK_MS: u64 = 300;
-/// How long the list of endpoints must stand still before the first orders are given: engines
-/// register one after another at a start, and a plan for all of them is better.
+/// Interval between checks for orders to send.
+const PLACEMENT_INTERVAL_MS: u64 = 300;
+/// How long the endpoint list must be unchanged before the first orders are sent: engines register
+/// one after another at startup, and a plan for all of them is better.
 const SETTLE_MS: u64 = 900;
-/// Longest wait for the store's answer to a call about the lease.
-const LEASE_CALL_MS: u64 = 600;
-/// Longest wait for the report of an engine that is about to be moved.
+/// Timeout of a lease call to the store.
+const LEASE_CALL_TIMEOUT_MS: u64 = 600;
+/// Timeout for the report of an engine before it is moved.
 const REPORT_TIMEOUT_MS: u64 = 200;
-/// Times of the lease: short, since while nobody holds it no engine gets layers. The holder keeps
-/// it only while there is something to order.
-const LEASE_TIMES: LeaseTiming = LeaseTiming {
+/// Times of the lease: short, because no engine gets layers while nobody holds it. The holder
+/// keeps it only while there are orders to send.
+const LEASE_TIMING: LeaseTiming = LeaseTiming {
     lease_ms: 3_000,
     margin_ms: 300,
     renew_ms: 1_000,
     watch_ms: 500,
     retry_ms: 200,
 };
-/// How long the lease is kept after the last order, for what comes right behind.
-const KEEP_MS: u64 = 4_000;
+/// How long the lease is kept after the last order, in case more orders follow.
+const IDLE_LEASE_TTL_MS: u64 = 4_000;
 
-struct Duty {
+struct PlacementTask {
     lease: Lease,
     placement: PlacementPlanner,
-    work_ms: Option<u64>,
+    last_order_ms: Option<u64>,
     seen_engines: usize,
-    changed_ms: u64,
+    engines_changed_ms: u64,
 }
 
-/// Looks after the layers of every model, for as long as the process runs.
+/// Places the layers of every model until the process exits.
 pub(crate) async fn place_layers<A>(node: Rc<Node<A>>)
 where
     A: Adapter,
 {
-    let mut duties: IndexMap<ServiceName, Duty> = IndexMap::new();
+    let mut tasks: IndexMap<ServiceName, PlacementTask> = IndexMap::new();
     loop {
-        sleep(Duration::from_millis(LOOK_MS)).await;
+        sleep(Duration::from_millis(PLACEMENT_INTERVAL_MS)).await;
         let Some(table) = node.routes() else {
             continue;
         };
-        let heard = node.peer_orders.take();
+        let peer_orders = node.peer_orders.take();
         for (service, spec) in &table.services {
             let Some(model) = &spec.model else {
                 continue;
             };
-            if !duties.contains_key(service) {
-                duties.insert(service.clone(), Duty::new(&node, service));
+            if !tasks.contains_key(service) {
+                tasks.insert(service.clone(), PlacementTask::new(&node, service));
             }
-            duties[service].look(&node, service, model, &heard).await;
+            tasks[service]
+                .tick(&node, service, model, &peer_orders)
+                .await;
         }
     }
 }
 
-impl Duty {
+impl PlacementTask {
     fn new<A>(node: &Node<A>, service: &ServiceName) -> Self {
         let instance = node.settings.instance.clone();
         Self {
-            lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMES),
+            lease: Lease::with_times(service.clone(), instance, node.incarnation, LEASE_TIMING),
             placement: PlacementPlanner::default(),
-            work_ms: None,
+            last_order_ms: None,
             seen_engines: 0,
-            changed_ms: 0,
+            engines_changed_ms: 0,
         }
     }
 
-    /// Looks once at what is to be ordered. `heard` are the orders that other processes told of since
-    /// the look before, for the engines of any service.
-    async fn look<A>(
+    /// Runs one round of placement. `peer_orders` are the orders that other processes have announced
+    /// since the previous round, for engines of any service.
+    async fn tick<A>(
         &mut self,
         node: &Rc<Node<A>>,
         service: &ServiceName,
         model: &EngineModel,
-        heard: &[PlacementOrder],
+        peer_orders: &[PlacementOrder],
     ) where
         A: Adapter,
     {
         let now_ms = boot_ms();
         let engines = engines(node, service);
-        let is_ours = |order: &&PlacementOrder| engines.iter().any(|it| it.id == order.endpoint);
-        for order in heard.iter().filter(is_ours) {
+        let is_own = |order: &&PlacementOrder| engines.iter().any(|it| it.id == order.endpoint);
+        for order in peer_orders.iter().filter(is_own) {
             self.placement.order_reported(order.clone(), model, now_ms);
         }
         if engines.len() != self.seen_engines {
             self.seen_engines = engines.len();
-            self.changed_ms = now_ms;
+            self.engines_changed_ms = now_ms;
         }
         let is_start = engines.iter().all(|engine| engine.layers.is_none());
-        let is_settled = !is_start || now_ms >= self.changed_ms + SETTLE_MS;
+        let is_settled = !is_start || now_ms >= self.engines_changed_ms + SETTLE_MS;
         let may_lead = node.availability().may_lead();
         let is_first = may_lead && node.peers.borrow().is_preferred_leader(now_ms);
         let orders = if is_first && is_settled {
@@ -117,24 +119,26 @@
             Vec::new()
         };
         if !orders.is_empty() {
-            self.work_ms = Some(now_ms);
+            self.last_order_ms = Some(now_ms);
         }
-        let is_recent = self.work_ms.is_some_and(|at_ms| now_ms < at_ms + KEEP_MS);
-        self.want_lease(node, service, is_first && is_recent);
-        self.keep_lease(node, service).await;
+        let is_recent = self
+            .last_order_ms
+            .is_some_and(|at_ms| now_ms < at_ms + IDLE_LEASE_TTL_MS);
+        self.set_lease_wanted(node, service, is_first && is_recent);
+        self.maintain_lease(node, service).await;
         let held = self
             .lease
             .may_send_orders(node.settings.bounds.engines_check_fence, boot_ms());
         if let Some(held) = held {
-            for (order, result) in give(node, orders, held.fence).await {
-                self.gave(node, order, &result, &engines, model);
+            for (order, result) in send_orders(node, orders, held.fence).await {
+                self.record_order_result(node, order, &result, &engines, model);
             }
         }
     }
 
-    /// Says whether the lease is wanted. Peers hear at once that it is given up: the store, which they
-    /// would read it from, may be what this instance has lost.
-    fn want_lease<A>(&mut self, node: &Node<A>, service: &ServiceName, is_wanted: bool)
+    /// Sets whether the lease is wanted. A release is announced to peers at once: they cannot rely on
+    /// reading it from the store, which may be what this instance has lost.
+    fn set_lease_wanted<A>(&mut self, node: &Node<A>, service: &ServiceName, is_wanted: bool)
     where
         A: Adapter,
     {
@@ -143,7 +147,7 @@
             return;
         }
         if let Some(held) = self.lease.held(boot_ms()) {
-            log::info!(service = service.as_str(), fence = held.fence; "lease is given up");
+            log::info!(service = service.as_str(), fence = held.fence; "released the lease");
             node.peers
                 .borrow_mut()
                 .announce_lease_release(service, held.fence);
@@ -151,55 +155,55 @@
         }
     }
 
-    /// Looks whether the holder of the lease has ended.
-    fn note_holder<A>(&mut self, node: &Node<A>, service: &ServiceName) {
+    /// Checks whether the process that holds the lease has terminated.
+    fn check_holder<A>(&mut self, node: &Node<A>, service: &ServiceName) {
         let Some(holder) = self.lease.holder() else {
             return;
         };
-        let end = node
+        let status = node
             .peers
             .borrow()
             .lease_holder_status(service, &holder, boot_ms());
         let are_fenced = node.settings.bounds.engines_check_fence;
         let has_ended =
-            end == HolderStatus::Ended || (end == HolderStatus::PresumedEnded && are_fenced);
+            status == HolderStatus::Ended || (status == HolderStatus::PresumedEnded && are_fenced);
         if has_ended && self.lease.record_holder_ended(holder.fence) {
             log::info!(
                 service = service.as_str(),
                 holder = holder.instance.as_str(),
                 fence = holder.fence,
-                evidence = end.log_value();
-                "holder of the lease has ended"
+                evidence = status.log_value();
+                "lease holder has terminated"
             );
         }
     }
 
-    async fn keep_lease<A>(&mut self, node: &Rc<Node<A>>, service: &ServiceName)
+    async fn maintain_lease<A>(&mut self, node: &Rc<Node<A>>, service: &ServiceName)
     where
         A: Adapter,
     {
-        self.note_holder(node, service);
+        self.check_holder(node, service);
         while let Some(call) = self.lease.due(boot_ms()) {
-            let result = call_table(node.adapter.store(), &call, LEASE_CALL_MS).await;
+            let result = call_table(node.adapter.store(), &call, LEASE_CALL_TIMEOUT_MS).await;
             let is_ok = result.is_ok();
             match self.lease.answered(result, boot_ms()) {
                 Some(LeaseEvent::Taken { fence }) => {
-                    log::info!(service = service.as_str(), fence; "lease taken");
+                    log::info!(service = service.as_str(), fence; "acquired the lease");
                 }
                 Some(LeaseEvent::Lost) => {
-                    log::warn!(service = service.as_str(); "lease lost");
+                    log::warn!(service = service.as_str(); "lost the lease");
                 }
                 None => {}
             }
-            self.note_holder(node, service);
+            self.check_holder(node, service);
             if !is_ok {
                 return;
             }
         }
     }
 
-    /// Takes what came of an order.
-    fn gave<A>(
+    /// Records the result of an order.
+    fn record_order_result<A>(
         &mut self,
         node: &Rc<Node<A>>,
         order: PlacementOrder,
@@ -210,7 +214,7 @@
         A: Adapter,
     {
         match result {
-            // An order without reply may be carried out; it is looked for in the list.
+            // An order without a reply may have been executed; the endpoint list will show it.
             Ok(()) | Err(OrderFailure::NoReply) => {
                 node.record_move(&order);
                 self.placement.order_sent(order, engines, model, boot_ms());
@@ -225,8 +229,8 @@
     }
 }
 
-/// Gives orders side by side.
-async fn give<A>(
+/// Sends orders concurrently.
+async fn send_orders<A>(
     node: &Rc<Node<A>>,
     orders: Vec<PlacementOrder>,
     fence: u64,
@@ -234,14 +238,14 @@
 where
     A: Adapter,
 {
-    let given = orders.into_iter().map(|order| async move {
-        let result = give_one(node, &order, fence).await;
+    let results = orders.into_iter().map(|order| async move {
+        let result = send_order(node, &order, fence).await;
         (order, result)
     });
-    join_all(given).await
+    join_all(results).await
 }
 
-async fn give_one<A>(
+async fn send_order<A>(
     node: &Rc<Node<A>>,
     order: &PlacementOrder,
     fence: u64,
@@ -251,7 +255,7 @@
 {
     let address = super::plain::address_of(node, &order.endpoint);
     let address = address.ok_or(OrderFailure::Unknown)?;
-    may_move(node, &order.endpoint, address).await?;
+    check_movable(node, &order.endpoint, address).await?;
     let result = node
         .adapter
         .engines()
@@ -267,15 +271,15 @@
         end = order.layers.end,
         fence,
         outcome = outcome.as_str();
-        "engine is ordered to hold layers"
+        "sent a placement order to an engine"
     );
     node.counters.count("relay.orders.place");
     result
 }
 
-/// Asks an engine that is about to get an order how it is: one that nothing ran through lately may be
-/// slow without anybody knowing, or have an order under way that another process gave.
-async fn may_move<A>(
+/// Probes an engine before it gets an order: one that has been idle may have become slow without
+/// this being noticed, or may be executing an order from another process.
+async fn check_movable<A>(
     node: &Rc<Node<A>>,
     endpoint: &EndpointId,
     address: SocketAddr,
@@ -289,7 +293,7 @@
         log::info!(
             endpoint = endpoint.as_str(),
             born_unix_ms = report.started_unix_ms;
-            "engine is not moved: another process answers"
+            "engine is not moved: a different process answers at its address"
         );
         return Err(OrderFailure::Unknown);
     }
@@ -304,7 +308,7 @@
             endpoint = endpoint.as_str(),
             busy = report.is_busy,
             slowness = report.slowness;
-            "engine is not moved"
+            "engine is not moved: it is busy or too slow"
         );
         return Err(OrderFailure::Conflict(Some(address)));
     }
@@ -316,7 +320,7 @@
     let fleet = node.fleet.borrow();
     fleet
         .of_service(service)
-        // An engine that does not answer is listed for another three heartbeats.
+        // The endpoint list keeps an engine that does not answer for three more heartbeats.
         .filter(|known| known.listed.phase == Phase::Live && !known.is_lost())
         .filter_map(|known| {
             let listed = &known.listed;
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -1,4 +1,4 @@
-//! Where requests come in: the instance's own pages, and what is relayed.
+//! Entry point of callers' requests: serves the instance's local pages and relays all others.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,18 +23,18 @@
 use crate::relay::{AttemptLimit, FinalError, RefusalCause};
 use crate::route_table::{Rejection, Route, RouteTable};
 
-/// Longest wait for a whole body. Callers send bodies of a few kilobytes at once.
+/// Timeout for reading a complete body. Callers send bodies of a few kilobytes without pause.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Part of a planned stop's time in which every request is still taken: a stream lasts 3 s as a rule
-/// and 7 s at most, and callers that were told of this instance come for some seconds yet. Plain
-/// requests are taken for as long as their route's timeout fits.
-const OPEN_PERCENT: u64 = 30;
-/// Time of a planned stop kept in hand behind the last request that is taken.
+/// Percentage of a planned stop's time limit in which all requests are still accepted: a stream
+/// usually lasts 3 s and at most 7 s, and callers that have this instance's address keep using it
+/// for some seconds. Plain requests are accepted for as long as their route's timeout fits.
+const STOP_ACCEPT_PERCENT: u64 = 30;
+/// Time of a planned stop reserved after the last accepted request's timeout.
 const STOP_RESERVE_MS: u64 = 800;
-/// Patience of a caller that does not say how long it will wait: no shorter than any route's.
-const DEFAULT_PATIENCE_MS: u64 = 60_000;
+/// Timeout of a caller that does not state one: no shorter than any route's timeout.
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
-/// Counts a caller's request while it has no whole answer.
+/// Counts a caller's request as open until its response is complete.
 pub(crate) struct OpenRequest<A> {
     node: Rc<Node<A>>,
 }
@@ -59,15 +59,15 @@
     count.set(count.get() + n);
 }
 
-/// Answers one request.
-pub(crate) async fn answer<A>(node: Rc<Node<A>>, request: Request) -> Response<BoxBody>
+/// Handles one request.
+pub(crate) async fn handle_request<A>(node: Rc<Node<A>>, request: Request) -> Response<BoxBody>
 where
     A: Adapter,
 {
     let uri = request.uri();
     let query = uri.query().unwrap_or("");
     match node.adapter.match_local_page(uri.path(), query) {
-        Some(page) => own_page(&node, &page),
+        Some(page) => serve_local_page(&node, &page),
         None => {
             let open = OpenRequest::begin(&node);
             let response = relay(&node, request).await;
@@ -76,14 +76,14 @@
     }
 }
 
-/// Answers for the page of counters.
-pub(crate) fn metrics<A>(node: &Node<A>) -> Response<BoxBody> {
+/// Serves the page of counters.
+pub(crate) fn metrics_page<A>(node: &Node<A>) -> Response<BoxBody> {
     node.counters
         .gauge("relay.open_requests", node.open_requests.get());
     Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
 }
 
-fn own_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
+fn serve_local_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
 where
     A: Adapter,
 {
@@ -109,7 +109,7 @@
     A: Adapter,
 {
     let arrived_ms = boot_ms();
-    node.await_informed(arrived_ms).await;
+    node.wait_until_informed(arrived_ms).await;
     let Some(table) = node.routes() else {
         return refuse(node, "", None, RefusalCause::NoTable);
     };
@@ -126,7 +126,7 @@
         Ok(body) => body,
         Err(status) => return status_response(node, status),
     };
-    let digest = node.digest(&RequestParts {
+    let digest = node.request_digest(&RequestParts {
         account: resolved.account.as_ref(),
         method: request.method().as_str(),
         host: host_of(request.head()),
@@ -142,7 +142,7 @@
         ..resolved
     };
     node.count_request(&relayed.service);
-    note_ages(node, arrived_ms);
+    record_ages(node, arrived_ms);
     if node.quarantine_status(digest) == QuarantineStatus::Withheld {
         return refuse(
             node,
@@ -163,21 +163,21 @@
     }
 }
 
-/// The host that a caller asked for; empty if it names none.
+/// The `Host` header of a request; empty if it has none.
 fn host_of(head: &RequestHead) -> &str {
     let host = head.headers.get(header::HOST);
     host.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// Notes how old what a request was decided by is.
-fn note_ages<A>(node: &Node<A>, now_ms: u64) {
+/// Records the age of the data that a request is handled with.
+fn record_ages<A>(node: &Node<A>, now_ms: u64) {
     let table_age_ms = node.table.borrow().age_ms(now_ms);
     let list_age_ms = node.fleet.borrow().age_ms(now_ms);
     node.counters.time_ms("relay.table_age", table_age_ms);
     node.counters.time_ms("relay.list_age", list_age_ms);
 }
 
-/// Finds what the table says of a request, or the answer that turns it away.
+/// Resolves a request with the route table, or returns the response that rejects it.
 fn resolve<A>(
     node: &Rc<Node<A>>,
     table: &Rc<RouteTable>,
@@ -191,7 +191,7 @@
     let ask = match node.adapter.parse_request_metadata(head) {
         Ok(ask) => ask,
         Err(fault) => {
-            log::info!(fault:% = fault; "request is malformed");
+            log::info!(fault:% = fault; "rejected a malformed request");
             return Err(Box::new(status_response(node, StatusCode::BAD_REQUEST)));
         }
     };
@@ -209,7 +209,7 @@
             RefusalCause::OldTable,
         )));
     }
-    if is_late_to_begin(node, &route, now_ms) {
+    if is_too_late_to_start(node, &route, now_ms) {
         return Err(Box::new(refuse(
             node,
             &ask.id,
@@ -217,7 +217,7 @@
             RefusalCause::Stopping,
         )));
     }
-    let Some(service) = route.pick_service(node.draw()).cloned() else {
+    let Some(service) = route.pick_service(node.random_u64()).cloned() else {
         return Err(Box::new(refuse(
             node,
             &ask.id,
@@ -225,35 +225,35 @@
             RefusalCause::NoEndpoint,
         )));
     };
-    let patience_ms = ask.timeout_ms.unwrap_or(DEFAULT_PATIENCE_MS);
+    let timeout_ms = ask.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
     Ok(RelayedRequest {
         table: Rc::clone(table),
         account: resolved.account.map(|account| account.name.clone()),
         priority: resolved.priority(),
         service,
-        head: headers::request_head(head),
+        head: headers::forwarded_request_head(head),
         body: Bytes::new(),
         digest: None,
         arrived_ms: now_ms,
-        deadline_ms: now_ms + patience_ms.min(route.timeout_ms),
+        deadline_ms: now_ms + timeout_ms.min(route.timeout_ms),
         route,
         ask,
     })
 }
 
-/// Whether so little of a planned stop is left that a request might be cut off.
-fn is_late_to_begin<A>(node: &Node<A>, route: &Route, now_ms: u64) -> bool {
+/// Whether a planned stop is so close to its time limit that a new request might be cut off.
+fn is_too_late_to_start<A>(node: &Node<A>, route: &Route, now_ms: u64) -> bool {
     let Some(since_ms) = node.stopping_since_ms.get() else {
         return false;
     };
     let limit_ms = node.settings.bounds.stop_limit_ms;
-    let any_ms = limit_ms * OPEN_PERCENT / 100;
-    let open_ms = if route.repeat.is_stream() {
-        any_ms
+    let open_all_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
+    let open_route_ms = if route.repeat.is_stream() {
+        open_all_ms
     } else {
-        any_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
+        open_all_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
     };
-    now_ms > since_ms + open_ms
+    now_ms > since_ms + open_route_ms
 }
 
 fn reject<A>(
@@ -267,7 +267,7 @@
     A: Adapter,
 {
     let age_ms = node.table.borrow().age_ms(now_ms);
-    // A table that may be out of date may lack a route or key that was added since.
+    // An outdated table may lack a route or key that was added since.
     if age_ms > node.settings.bounds.key_trust_ms {
         return refuse(node, id, None, RefusalCause::OldTable);
     }
@@ -280,7 +280,7 @@
         status = status.as_u16(),
         table = table.version,
         table_age_ms = age_ms;
-        "request is turned away by the table"
+        "request is rejected by the route table"
     );
     status_response(node, status)
 }
@@ -294,7 +294,7 @@
 where
     A: Adapter,
 {
-    let outlook = node.retry_conditions(0, 0);
+    let conditions = node.retry_conditions(0, 0);
     let limit = AttemptLimit::from(cause);
     node.count_given_up(limit);
     let table = node.table.borrow();
@@ -303,14 +303,14 @@
         route = route.map(|route| route.name.as_str()),
         cause = cause.name(),
         limit = limit.name(),
-        retry_after_ms = cause.retry_after_ms(outlook),
+        retry_after_ms = cause.retry_after_ms(conditions),
         table = table.table().map(|table| table.version),
         table_age_ms = table.age_ms(boot_ms()),
         list_age_ms = node.fleet.borrow().age_ms(boot_ms());
         "request is refused"
     );
     drop(table);
-    error_response(node, FinalError::NotRun(cause), outlook)
+    error_response(node, FinalError::NotRun(cause), conditions)
 }
 
 async fn read_body(
@@ -332,7 +332,7 @@
     read.unwrap_or(Err(StatusCode::REQUEST_TIMEOUT))
 }
 
-/// An answer's body that counts as an open request until it is sent or dropped.
+/// A response body that counts as an open request until it is sent or dropped.
 struct TrackedBody<A> {
     body: BoxBody,
     _open: OpenRequest<A>,
--- a/src/relay_server/pacing.rs
+++ b/src/relay_server/pacing.rs
@@ -1,4 +1,4 @@
-//! What an instance does with the word of endpoints on how they want to be sent requests.
+//! Handling of rate limits, back-offs and drain notices that endpoints announce.
 
 use std::net::SocketAddr;
 
@@ -19,12 +19,12 @@
 where
     A: Adapter,
 {
-    /// Takes what an answer of an endpoint says, with a line on what is new. Others are told of a limit.
-    pub(super) fn apply_pacing(&self, endpoint: &EndpointId, said: Pacing) {
+    /// Applies the pacing in a response of an endpoint, and logs changes. Limits are announced to peers.
+    pub(super) fn apply_pacing(&self, endpoint: &EndpointId, announced: Pacing) {
         let now_ms = boot_ms();
         let mut fleet = self.fleet.borrow_mut();
-        let changes = fleet.apply_pacing(endpoint, said, now_ms);
-        let has_news = fleet.pacing.has_unsent_updates();
+        let changes = fleet.apply_pacing(endpoint, announced, now_ms);
+        let has_updates = fleet.pacing.has_unsent_updates();
         drop(fleet);
         if changes.is_empty() {
             return;
@@ -39,12 +39,12 @@
             self.heartbeat_due.notify_one();
         }
         self.update_limit_shares(now_ms);
-        if has_news {
+        if has_updates {
             self.request_heartbeat();
         }
     }
 
-    /// Takes limits that a peer has heard.
+    /// Applies rate limits that a peer has reported.
     pub(super) fn apply_limit_reports(
         &self,
         peer: &InstanceId,
@@ -52,16 +52,16 @@
         now_ms: u64,
     ) {
         let mut has_changed = false;
-        for told in limits {
+        for report in limits {
             let mut fleet = self.fleet.borrow_mut();
-            if fleet.pacing.apply_reports(told, now_ms) {
+            if fleet.pacing.apply_reports(report, now_ms) {
                 has_changed = true;
                 log::info!(
-                    endpoint = told.endpoint.as_str(),
-                    now_per_s = told.limit_per_s,
-                    age_ms = told.age_ms,
+                    endpoint = report.endpoint.as_str(),
+                    now_per_s = report.limit_per_s,
+                    age_ms = report.age_ms,
                     peer = peer.as_str();
-                    "endpoint names a rate limit, a peer says"
+                    "peer reports an endpoint's rate limit"
                 );
                 self.counters.count("relay.pacing.limits_told");
             }
@@ -71,12 +71,12 @@
         }
     }
 
-    /// Decides anew how much of each endpoint's limit is this instance's.
+    /// Recomputes this instance's share of each endpoint's rate limit.
     pub(super) fn update_limit_shares(&self, now_ms: u64) {
         update_limit_shares(&mut self.fleet.borrow_mut(), &self.peers.borrow(), now_ms);
     }
 
-    /// Why nobody can be sent a request for a service now, if it is that endpoints want none.
+    /// The cause to refuse a request with if all endpoints of a service are held off by their pacing.
     pub(super) fn rate_limit_refusal(&self, service: &ServiceName) -> Option<RefusalCause> {
         let now_ms = boot_ms();
         let next_send = self.fleet.borrow().earliest_paced_send(service, now_ms)?;
@@ -84,8 +84,9 @@
         Some(RefusalCause::RateLimited { wait_ms })
     }
 
-    /// Sends a request with a permit of its endpoint, where one is needed, if `may_send` holds once there
-    /// is a connection. Errors are those of [`UpstreamPool::send`](super::upstream::UpstreamPool::send).
+    /// Sends a request under a permit of its endpoint, where one is needed, if `may_send` returns true
+    /// once the connection is established. Fails as
+    /// [`UpstreamPool::send`](super::upstream::UpstreamPool::send) does.
     pub(super) async fn send_with_permit<F>(
         &self,
         endpoint: &EndpointId,
@@ -101,7 +102,7 @@
         if permit == Permit::Missing {
             return Err(UpstreamFailure::Withdrawn);
         }
-        let may_send = || may_send() && self.keeps_permit(endpoint, permit);
+        let may_send = || may_send() && self.renew_permit(endpoint, permit);
         let sent = self
             .upstreams
             .send(address, head, body, boot_ms(), may_send)
@@ -115,16 +116,16 @@
 
     fn take_permit(&self, endpoint: &EndpointId) -> Permit {
         let mut fleet = self.fleet.borrow_mut();
-        self.count_missing(fleet.pacing.acquire_permit(endpoint, boot_ms()))
+        self.count_missing_permit(fleet.pacing.acquire_permit(endpoint, boot_ms()))
     }
 
-    fn keeps_permit(&self, endpoint: &EndpointId, permit: Permit) -> bool {
+    fn renew_permit(&self, endpoint: &EndpointId, permit: Permit) -> bool {
         let mut fleet = self.fleet.borrow_mut();
         let renewed = fleet.pacing.recheck_permit(endpoint, permit, boot_ms());
-        self.count_missing(renewed) != Permit::Missing
+        self.count_missing_permit(renewed) != Permit::Missing
     }
 
-    fn count_missing(&self, permit: Permit) -> Permit {
+    fn count_missing_permit(&self, permit: Permit) -> Permit {
         if permit == Permit::Missing {
             self.counters.count("relay.pacing.no_permit");
         }
@@ -138,22 +139,22 @@
                 before_per_s,
                 now_per_s,
             } => {
-                log::info!(endpoint, before_per_s, now_per_s; "endpoint names a rate limit");
+                log::info!(endpoint, before_per_s, now_per_s; "endpoint announced a rate limit");
                 self.counters.count("relay.pacing.limits");
             }
             PacingChange::BackOff { for_ms } => {
-                log::info!(endpoint, for_ms; "endpoint asks this instance to back off");
+                log::info!(endpoint, for_ms; "endpoint requested a back-off");
                 self.counters.count("relay.pacing.back_offs");
             }
             PacingChange::Leaving => {
-                log::info!(endpoint; "endpoint says that it is leaving");
+                log::info!(endpoint; "endpoint announced that it is leaving");
                 self.counters.count("relay.pacing.leaving");
             }
         }
     }
 }
 
-/// Decides how much of each endpoint's limit is the instance's that has this book of peers.
+/// Recomputes the share of each endpoint's rate limit for the instance that `peers` belongs to.
 pub(super) fn update_limit_shares(fleet: &mut Fleet, peers: &PeerBook, now_ms: u64) {
     if !fleet.pacing.has_limits() {
         return;
--- a/src/relay_server/quarantine_rows.rs
+++ b/src/relay_server/quarantine_rows.rs
@@ -1,5 +1,5 @@
-//! What stands in the store for the quarantine of requests: the key of the deployment's digests, and the
-//! requests that are withheld, so that a loss of all instances at once does not set them free.
+//! Rows of the request quarantine in the store: the deployment's digest key, and the withheld
+//! requests, so that they stay withheld if all instances fail at once.
 
 use std::rc::Rc;
 
@@ -8,7 +8,7 @@
 use super::adapter::Adapter;
 use super::node::Node;
 use super::records::REGISTER_TIMEOUT_MS;
-use super::withholding::FROM_STORE;
+use super::withholding::SOURCE_STORE;
 use crate::clients::{TableFailure, TableService};
 use crate::clock::{boot_ms, unix_ms};
 use crate::ids::EndpointId;
@@ -17,27 +17,27 @@
 };
 use crate::wire::platform::{Condition, Row, ScanRows, TransactReply, Transaction, Write};
 
-/// Common start of all rows.
+/// Key prefix of all rows.
 const PREFIX: &str = "quarantine/";
-/// Where the key of the digests stands.
+/// Key of the row with the digest key.
 const KEY_ROW: &str = "quarantine/key";
-/// Where withheld requests stand, by digest.
+/// Key prefix of withheld requests; the digest follows.
 const WITHHELD_PREFIX: &str = "quarantine/withheld/";
-/// Most rows read: far more than are withheld at a time.
-const ROWS_LIMIT: u32 = 500;
+/// Maximum number of rows read: far more than are withheld at a time.
+const MAX_ROWS: u32 = 500;
 
-/// A withheld request's row.
+/// The row of a withheld request.
 #[derive(Debug, Serialize, Deserialize)]
 struct WithheldRow {
-    /// Endpoints that ended under it.
+    /// Endpoints that terminated while running it.
     endpoints: Vec<EndpointId>,
-    /// When it was withheld, in Unix milliseconds. A row that is too old says nothing, and is replaced when
-    /// the request is withheld again.
+    /// When it was withheld, in Unix milliseconds. An expired row is ignored, and replaced when the
+    /// request is withheld again.
     withheld_unix_ms: u64,
 }
 
-/// Learns at the start what is withheld and the key of the deployment's digests, and draws the key if
-/// there is none. Returns whether the store has answered.
+/// Loads the withheld requests and the digest key at startup, and creates the key if there is none.
+/// Returns whether the store has answered.
 pub(super) async fn load<A>(node: &Rc<Node<A>>) -> bool
 where
     A: Adapter,
@@ -45,10 +45,10 @@
     if node.digest_key.borrow().is_some() {
         return true;
     }
-    let key = match read(node).await {
+    let key = match load_rows(node).await {
         Ok(key) => key,
         Err(failure) => {
-            log::warn!(failure:% = failure; "the key of request digests was not read");
+            log::warn!(failure:% = failure; "cannot read the key of request digests");
             return false;
         }
     };
@@ -62,57 +62,61 @@
     true
 }
 
-async fn read<A>(node: &Rc<Node<A>>) -> Result<Option<DigestKey>, TableFailure>
+async fn load_rows<A>(node: &Rc<Node<A>>) -> Result<Option<DigestKey>, TableFailure>
 where
     A: Adapter,
 {
-    let ask = ScanRows {
+    let query = ScanRows {
         prefix: PREFIX.to_owned(),
         after: None,
-        limit: ROWS_LIMIT,
+        limit: MAX_ROWS,
     };
-    let found = node.adapter.store().scan(&ask, REGISTER_TIMEOUT_MS).await?;
-    let deaths: Vec<CrashReport> = found.rows.iter().flat_map(deaths_in).collect();
-    let told = EvidenceReport {
-        crashes: deaths,
+    let found = node
+        .adapter
+        .store()
+        .scan(&query, REGISTER_TIMEOUT_MS)
+        .await?;
+    let crashes: Vec<CrashReport> = found.rows.iter().flat_map(crashes_from_row).collect();
+    let evidence = EvidenceReport {
+        crashes,
         ..EvidenceReport::default()
     };
-    node.apply_evidence(&told, FROM_STORE, boot_ms());
+    node.apply_evidence(&evidence, SOURCE_STORE, boot_ms());
     match found.rows.iter().find(|row| row.key == KEY_ROW) {
-        Some(row) => Ok(key_in(row)),
-        None => write_key(node).await,
+        Some(row) => Ok(key_from_row(row)),
+        None => create_key(node).await,
     }
 }
 
-async fn write_key<A>(node: &Node<A>) -> Result<Option<DigestKey>, TableFailure>
+async fn create_key<A>(node: &Node<A>) -> Result<Option<DigestKey>, TableFailure>
 where
     A: Adapter,
 {
-    let drawn = DigestKey::draw(&mut rand::rng());
+    let key = DigestKey::generate(&mut rand::rng());
     let transaction = Transaction {
         conditions: vec![Condition::BeAbsent {
             key: KEY_ROW.to_owned(),
         }],
         writes: vec![Write::Put {
             key: KEY_ROW.to_owned(),
-            value: drawn.to_hex(),
+            value: key.to_hex(),
         }],
     };
     let store = node.adapter.store();
     let reply = store.transact(&transaction, REGISTER_TIMEOUT_MS).await?;
     Ok(match reply {
-        TransactReply::Committed { .. } => Some(drawn),
-        // Another instance was first; all must use the same key.
-        TransactReply::Conflict { rows } => rows.first().and_then(key_in),
+        TransactReply::Committed { .. } => Some(key),
+        // Another instance wrote its key first; all must use the same one.
+        TransactReply::Conflict { rows } => rows.first().and_then(key_from_row),
     })
 }
 
-fn key_in(row: &Row) -> Option<DigestKey> {
+fn key_from_row(row: &Row) -> Option<DigestKey> {
     DigestKey::from_hex(&row.value)
 }
 
-/// The evidence in a withheld request's row; none in other rows.
-fn deaths_in(row: &Row) -> Vec<CrashReport> {
+/// The evidence in the row of a withheld request; empty for other rows.
+fn crashes_from_row(row: &Row) -> Vec<CrashReport> {
     let Some(digest) = row.key.strip_prefix(WITHHELD_PREFIX) else {
         return Vec::new();
     };
@@ -132,9 +136,9 @@
     withheld.endpoints.into_iter().map(of_endpoint).collect()
 }
 
-/// Has the store keep what is withheld, beside whatever else goes on. One instance does it for all; a
-/// write that is lost is missed only if all instances end at once.
-pub(super) fn keep_beside<A>(node: &Rc<Node<A>>, changes: &[QuarantineChange])
+/// Writes changes of the withheld requests to the store, in a task of its own. One instance does
+/// so for all; a lost write matters only if all instances fail at once.
+pub(super) fn spawn_persist<A>(node: &Rc<Node<A>>, changes: &[QuarantineChange])
 where
     A: Adapter,
 {
@@ -142,7 +146,7 @@
     if !is_first || !node.availability().reaches_store {
         return;
     }
-    let writes: Vec<Write> = changes.iter().filter_map(write_of).collect();
+    let writes: Vec<Write> = changes.iter().filter_map(write_for).collect();
     let node = Rc::clone(node);
     actix_rt::spawn(async move {
         let transaction = Transaction {
@@ -151,12 +155,12 @@
         };
         let store = node.adapter.store();
         if let Err(failure) = store.transact(&transaction, REGISTER_TIMEOUT_MS).await {
-            log::warn!(failure:% = failure; "what is withheld was not written");
+            log::warn!(failure:% = failure; "cannot write withheld requests to the store");
         }
     });
 }
 
-fn write_of(change: &QuarantineChange) -> Option<Write> {
+fn write_for(change: &QuarantineChange) -> Option<Write> {
     let key = |digest: &RequestDigest| format!("{WITHHELD_PREFIX}{}", digest.to_hex());
     match change {
         QuarantineChange::Withheld(digest, endpoints) => {
@@ -170,6 +174,6 @@
                 value,
             })
         }
-        QuarantineChange::Free(digest) => Some(Write::Delete { key: key(digest) }),
+        QuarantineChange::Released(digest) => Some(Write::Delete { key: key(digest) }),
     }
 }
--- a/src/relay_server/records.rs
+++ b/src/relay_server/records.rs
@@ -60,7 +60,7 @@
         let pause_ms = match (is_done, node.reads_store()) {
             (true, true) => READ_INTERVAL_MS,
             (true, false) => NON_READER_INTERVAL_MS,
-            (false, _) => backoff_ms(failures, node.draw()),
+            (false, _) => backoff_ms(failures, node.random_u64()),
         };
         sleep(Duration::from_millis(pause_ms)).await;
     }
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -1,4 +1,4 @@
-//! Answers of endpoints as their bytes come over a socket.
+//! Responses of endpoints read from a socket, and snapshot queries between instances.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener};
@@ -12,72 +12,78 @@
 use super::snapshot::{KnownVersions, decode_snapshot};
 use super::upstream::{UpstreamFailure, UpstreamPool};
 
-/// How the endpoint ends the connection after its bytes.
+/// What the endpoint does with the connection after its response.
 #[derive(Clone, Copy)]
-enum End {
+enum ConnectionEnd {
     Close,
     Reset,
     KeepOpen,
 }
 
-/// An endpoint that answers each connection with these bytes.
-fn endpoint(answer: &'static [u8], end: End) -> SocketAddr {
+/// Starts an endpoint that answers each connection with these bytes.
+fn endpoint(response: &'static [u8], end: ConnectionEnd) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
         let mut kept = Vec::new();
         for stream in listener.incoming() {
-            let mut stream = stream.expect("a connection comes");
+            let mut stream = stream.expect("connections are accepted");
             let mut request = [0; 4_096];
-            // A reset is made by closing with a byte that was not read.
-            let read = if matches!(end, End::Reset) {
+            // Closing a connection with unread data makes the kernel send a reset.
+            let read = if matches!(end, ConnectionEnd::Reset) {
                 10
             } else {
                 request.len()
             };
             let _ = stream.read(&mut request[..read]);
-            stream.write_all(answer).expect("the router reads");
+            stream.write_all(response).expect("the router reads");
             match end {
-                End::Close => drop(stream.shutdown(Shutdown::Both)),
-                End::Reset => {
+                ConnectionEnd::Close => drop(stream.shutdown(Shutdown::Both)),
+                ConnectionEnd::Reset => {
                     thread::sleep(std::time::Duration::from_millis(30));
                     drop(stream);
                 }
-                End::KeepOpen => kept.push(stream),
+                ConnectionEnd::KeepOpen => kept.push(stream),
             }
         }
     });
     address
 }
 
-/// The body, if it is whole; and whether a second request would go over the same connection.
-async fn fetch(answer: &'static [u8], end: End) -> Result<Vec<u8>, UpstreamFailure> {
-    let address = endpoint(answer, end);
+/// Sends a request and returns the response body if it is complete.
+async fn fetch(response: &'static [u8], end: ConnectionEnd) -> Result<Vec<u8>, UpstreamFailure> {
+    let address = endpoint(response, end);
     let upstreams = UpstreamPool::new();
     let head = RequestHead::default();
     let exchange = upstreams
         .send(address, head, Bytes::new(), 0, || true)
         .await?;
     let (_, mut body) = exchange.head().await?;
-    let mut whole = Vec::new();
+    let mut received = Vec::new();
     while let Some(bytes) = body.next().await? {
-        whole.extend_from_slice(&bytes);
+        received.extend_from_slice(&bytes);
     }
     upstreams.release(body, None, 0);
-    Ok(whole)
+    Ok(received)
 }
 
 #[actix_rt::test]
-async fn an_answer_is_whole_at_its_announced_end() {
+async fn a_response_is_complete_at_its_announced_end() {
     let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
-    assert_eq!(fetch(sized, End::KeepOpen).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        fetch(sized, ConnectionEnd::KeepOpen).await,
+        Ok(b"hello".to_vec())
+    );
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
-    assert_eq!(fetch(chunked, End::KeepOpen).await, Ok(b"hello".to_vec()));
+    assert_eq!(
+        fetch(chunked, ConnectionEnd::KeepOpen).await,
+        Ok(b"hello".to_vec())
+    );
 }
 
 #[actix_rt::test]
-async fn an_answer_that_ends_before_its_announced_end_is_broken() {
-    for end in [End::Close, End::Reset] {
+async fn a_response_that_ends_early_is_broken() {
+    for end in [ConnectionEnd::Close, ConnectionEnd::Reset] {
         let sized = b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello";
         assert_eq!(fetch(sized, end).await, Err(UpstreamFailure::Broken));
         let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n";
@@ -86,40 +92,46 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_without_length_ends_with_its_connection_unless_that_is_reset() {
+async fn a_response_without_length_ends_with_its_connection_unless_reset() {
     let open = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello";
-    assert_eq!(fetch(open, End::Close).await, Ok(b"hello".to_vec()));
-    assert_eq!(fetch(open, End::Reset).await, Err(UpstreamFailure::Broken));
+    assert_eq!(
+        fetch(open, ConnectionEnd::Close).await,
+        Ok(b"hello".to_vec())
+    );
+    assert_eq!(
+        fetch(open, ConnectionEnd::Reset).await,
+        Err(UpstreamFailure::Broken)
+    );
 }
 
 #[actix_rt::test]
-async fn what_is_no_answer_is_told_from_a_broken_one() {
+async fn an_invalid_response_is_distinguished_from_a_truncated_one() {
     assert_eq!(
-        fetch(b"\x00\x01 no answer\r\n\r\n", End::KeepOpen).await,
+        fetch(b"\x00\x01 no answer\r\n\r\n", ConnectionEnd::KeepOpen).await,
         Err(UpstreamFailure::Garbled)
     );
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!";
     assert_eq!(
-        fetch(twice, End::KeepOpen).await,
+        fetch(twice, ConnectionEnd::KeepOpen).await,
         Err(UpstreamFailure::Garbled)
     );
     assert_eq!(
-        fetch(b"HTTP/1.1 200", End::Close).await,
+        fetch(b"HTTP/1.1 200", ConnectionEnd::Close).await,
         Err(UpstreamFailure::Broken)
     );
 }
 
 #[actix_rt::test]
-async fn a_connection_with_bytes_of_no_request_is_not_used_again() {
+async fn a_connection_with_surplus_bytes_is_not_reused() {
     let extra = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhelloHTTP/1.1 200 OK\r\n";
-    let address = endpoint(extra, End::KeepOpen);
+    let address = endpoint(extra, ConnectionEnd::KeepOpen);
     let upstreams = UpstreamPool::new();
     for _ in 0..2 {
         let exchange = upstreams
             .send(address, RequestHead::default(), Bytes::new(), 0, || true)
             .await;
-        let (_, mut body) = exchange.expect("sent").head().await.expect("an answer");
-        while body.next().await.expect("whole").is_some() {}
+        let (_, mut body) = exchange.expect("sent").head().await.expect("a response");
+        while body.next().await.expect("a complete body").is_some() {}
         upstreams.release(body, None, 0);
         assert!(!upstreams.has_idle(address));
     }
@@ -136,10 +148,10 @@
     assert_eq!(sent.err(), Some(UpstreamFailure::NoListener));
 }
 
-/// A request could be sent up to 300 ms after its endpoint had been chosen, the longest wait for a
-/// connection, though the endpoint had said meanwhile that it leaves. Found by reading.
+/// Establishing a connection takes up to 300 ms. Without a check afterwards, a request reached an
+/// endpoint that had announced meanwhile that it is leaving.
 #[actix_rt::test]
-async fn nothing_is_sent_to_an_endpoint_that_is_not_to_be_sent_requests_any_more() {
+async fn nothing_is_sent_if_the_endpoint_no_longer_accepts_requests() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let address = listener.local_addr().expect("it is bound");
     let sent = UpstreamPool::new()
@@ -153,40 +165,43 @@
 }
 
 proptest! {
-    /// Whatever a peer hands over, reading it ends.
+    /// Parsing a snapshot must not panic or hang on any input.
     #[test]
-    fn no_snapshot_crashes_its_reader(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn parsing_a_snapshot_never_panics(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode_snapshot(&bytes);
     }
 }
 
 #[test]
-fn peers_are_asked_only_for_what_the_store_does_not_tell() {
-    let wanting = |behind_since_ms, store_answers, list_age_ms| {
-        let knowledge = SyncState {
+fn peers_are_asked_only_for_what_the_store_does_not_deliver() {
+    let needs_fetch = |behind_since_ms, store_answers, list_age_ms| {
+        let state = SyncState {
             behind_since_ms,
             reads_store: true,
             is_fed: store_answers,
             list_age_ms,
         };
-        knowledge.needs_fetch(10_000)
+        state.needs_fetch(10_000)
     };
-    assert!(!wanting(None, true, 3_650), "nothing has changed");
-    assert!(wanting(None, false, 3_650));
-    assert!(!wanting(None, false, 2_900));
-    assert!(wanting(Some(9_400), true, 0));
-    assert!(!wanting(Some(9_600), true, 0), "its own watch brings it");
-    let told = SyncState {
+    assert!(!needs_fetch(None, true, 3_650), "nothing has changed");
+    assert!(needs_fetch(None, false, 3_650));
+    assert!(!needs_fetch(None, false, 2_900));
+    assert!(needs_fetch(Some(9_400), true, 0));
+    assert!(
+        !needs_fetch(Some(9_600), true, 0),
+        "its own watch delivers it"
+    );
+    let fed_by_zone = SyncState {
         behind_since_ms: Some(10_000),
         reads_store: false,
         is_fed: true,
         list_age_ms: 0,
     };
-    assert!(told.needs_fetch(10_000), "nothing else brings it");
+    assert!(fed_by_zone.needs_fetch(10_000), "nothing else delivers it");
 }
 
 #[test]
-fn a_question_says_what_is_known() {
+fn a_snapshot_query_states_known_versions() {
     let known = KnownVersions::from_query("table=12&list=340");
     assert_eq!(
         known,
