--- a/src/relay_server/document_distribution_tests/world.rs
+++ b/src/relay_server/document_distribution_tests/world.rs
@@ -362,7 +362,7 @@
         let knowledge = SyncState {
             behind_since_ms: own.asking.update_lag(&sync_sources, known, now_ms),
             reads_store: own.reads_store(),
-            is_fed: true,
+            receives_store_updates: true,
             list_age_ms: 0,
         };
         let part_of = Some(own.part.version).filter(|it| *it > 0);
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -266,7 +266,7 @@
         let knowledge = SyncState {
             behind_since_ms: self.asking.update_lag(&sync_sources, known, now_ms),
             reads_store: self.reads,
-            is_fed: self.is_fed(now_ms),
+            receives_store_updates: self.is_fed(now_ms),
             list_age_ms: self.fleet.age_ms(now_ms),
         };
         let next = self.asking.next(
--- a/src/relay_server/peer_selection_tests.rs
+++ b/src/relay_server/peer_selection_tests.rs
@@ -1,4 +1,4 @@
-//! Whom an instance asks.
+//! Tests the selection of the peer to fetch from.
 
 use std::net::SocketAddr;
 
@@ -36,29 +36,29 @@
     informant
 }
 
-fn knowledge(behind_since_ms: Option<u64>) -> SyncState {
+fn sync_state(behind_since_ms: Option<u64>) -> SyncState {
     SyncState {
         behind_since_ms,
         reads_store: false,
-        is_fed: true,
+        receives_store_updates: true,
         list_age_ms: 0,
     }
 }
 
 fn next(
-    asking: &mut PeerSelector,
+    selector: &mut PeerSelector,
     sync_sources: &[SyncSource],
-    part_of: Option<u64>,
-    draw: u64,
+    partial_version: Option<u64>,
+    random: u64,
     now_ms: u64,
 ) -> FetchDecision {
-    let behind_since_ms = asking.update_lag(sync_sources, KNOWN, now_ms);
-    let knowledge = knowledge(behind_since_ms);
-    let begun = PartialFetches {
-        document: part_of,
+    let behind_since_ms = selector.update_lag(sync_sources, KNOWN, now_ms);
+    let sync_state = sync_state(behind_since_ms);
+    let partial = PartialFetches {
+        document: partial_version,
         list_provider: None,
     };
-    asking.next(sync_sources, knowledge, KNOWN, begun, draw, now_ms)
+    selector.next(sync_sources, sync_state, KNOWN, partial, random, now_ms)
 }
 
 fn port(next: &FetchDecision) -> Option<(u16, bool)> {
@@ -71,7 +71,7 @@
     }
 }
 
-fn everybody() -> [SyncSource; 5] {
+fn all_peers() -> [SyncSource; 5] {
     [
         informant(1, 5, true, true),
         informant(2, 6, false, true),
@@ -82,13 +82,13 @@
 }
 
 #[test]
-fn the_nearest_of_those_that_know_more_are_asked_and_not_always_the_same() {
-    let first = |draw| {
+fn peers_of_the_own_zone_with_newer_data_are_selected_in_turn() {
+    let first = |random| {
         let next = next(
             &mut PeerSelector::default(),
-            &everybody(),
+            &all_peers(),
             None,
-            draw,
+            random,
             NOW_MS,
         );
         port(&next).map(|it| it.0)
@@ -102,23 +102,24 @@
 }
 
 #[test]
-fn those_with_fast_links_are_asked_more_often() {
+fn peers_with_fast_links_are_selected_more_often() {
     let mut fast = informant(1, 6, true, true);
     fast.link_mbps = 200;
     let all = [fast, informant(2, 6, true, true)];
-    let asked = (0..220).map(|draw| next(&mut PeerSelector::default(), &all, None, draw, NOW_MS));
+    let asked =
+        (0..220).map(|random| next(&mut PeerSelector::default(), &all, None, random, NOW_MS));
     let fast = asked.filter(|it| port(it) == Some((1, true))).count();
     assert_eq!(fast, 200);
 }
 
 #[test]
-fn a_document_is_gone_on_with_where_it_was_begun() {
-    for draw in 0..60 {
+fn partial_document_is_continued_from_a_peer_that_has_it() {
+    for random in 0..60 {
         let next = next(
             &mut PeerSelector::default(),
-            &everybody(),
+            &all_peers(),
             Some(7),
-            draw,
+            random,
             NOW_MS,
         );
         assert_eq!(port(&next), Some((5, true)));
@@ -126,58 +127,58 @@
 }
 
 #[test]
-fn another_zone_is_asked_for_a_document_only_after_a_while() {
-    let mut asking = PeerSelector::default();
+fn document_is_fetched_from_another_zone_only_after_a_delay() {
+    let mut selector = PeerSelector::default();
     let far = [informant(2, 6, false, true)];
     assert_eq!(
-        next(&mut asking, &far, None, 0, NOW_MS),
+        next(&mut selector, &far, None, 0, NOW_MS),
         FetchDecision::Idle
     );
     assert_eq!(
-        next(&mut asking, &far, None, 0, NOW_MS + 499),
+        next(&mut selector, &far, None, 0, NOW_MS + 499),
         FetchDecision::Idle
     );
-    let later = next(&mut asking, &far, None, 0, NOW_MS + 500);
+    let later = next(&mut selector, &far, None, 0, NOW_MS + 500);
     assert_eq!(port(&later), Some((2, true)));
 }
 
 #[test]
-fn another_zone_is_asked_for_the_list_at_once() {
-    let mut asking = PeerSelector::default();
+fn list_is_fetched_from_another_zone_immediately() {
+    let mut selector = PeerSelector::default();
     let far = [with_newer_list(informant(2, 6, false, true))];
-    let next = next(&mut asking, &far, None, 0, NOW_MS);
+    let next = next(&mut selector, &far, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((2, false)));
 }
 
 #[test]
-fn one_without_room_is_asked_again_when_it_has_some() {
-    let mut asking = PeerSelector::default();
+fn busy_peer_is_selected_again_when_it_has_capacity() {
+    let mut selector = PeerSelector::default();
     let all = [informant(3, 6, true, true)];
-    asking.mark_document_busy(&all[0].instance, 40, NOW_MS);
-    let waits = next(&mut asking, &all, None, 0, NOW_MS + 10);
+    selector.mark_document_busy(&all[0].instance, 40, NOW_MS);
+    let waits = next(&mut selector, &all, None, 0, NOW_MS + 10);
     assert_eq!(waits, FetchDecision::Wait { wait_ms: 30 });
-    let again = next(&mut asking, &all, None, 0, NOW_MS + 40);
+    let again = next(&mut selector, &all, None, 0, NOW_MS + 40);
     assert_eq!(port(&again), Some((3, true)));
 }
 
 #[test]
-fn one_without_room_for_a_document_is_asked_for_the_list() {
-    let mut asking = PeerSelector::default();
+fn peer_busy_with_documents_is_selected_for_the_list() {
+    let mut selector = PeerSelector::default();
     let all = [with_newer_list(informant(3, 6, true, true))];
-    asking.mark_document_busy(&all[0].instance, 40, NOW_MS);
-    let next = next(&mut asking, &all, None, 0, NOW_MS);
+    selector.mark_document_busy(&all[0].instance, 40, NOW_MS);
+    let next = next(&mut selector, &all, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((3, false)));
 }
 
 #[test]
-fn one_that_gave_nothing_is_left_alone_for_a_while() {
-    let mut asking = PeerSelector::default();
+fn failed_peer_is_skipped_for_a_while() {
+    let mut selector = PeerSelector::default();
     let all = [informant(3, 6, true, true), informant(4, 6, true, true)];
-    asking.mark_failed(&all[0].instance, NOW_MS);
-    for draw in 0..40 {
-        let next = next(&mut asking, &all, None, draw, NOW_MS + 799);
+    selector.mark_failed(&all[0].instance, NOW_MS);
+    for random in 0..40 {
+        let next = next(&mut selector, &all, None, random, NOW_MS + 799);
         assert_eq!(port(&next), Some((4, true)));
     }
-    let again = next(&mut asking, &all, None, 0, NOW_MS + 800);
+    let again = next(&mut selector, &all, None, 0, NOW_MS + 800);
     assert_eq!(port(&again), Some((3, true)));
 }
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -259,7 +259,7 @@
     let knowledge = SyncState {
         behind_since_ms: asking.update_lag(&sync_sources, known, now_ms),
         reads_store: node.reads_store(),
-        is_fed: node.receives_store_updates(),
+        receives_store_updates: node.receives_store_updates(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
     let draw = node.draw();
--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -166,7 +166,7 @@
         let knowledge = SyncState {
             behind_since_ms,
             reads_store: true,
-            is_fed: store_answers,
+            receives_store_updates: store_answers,
             list_age_ms,
         };
         knowledge.needs_fetch(10_000)
@@ -179,7 +179,7 @@
     let told = SyncState {
         behind_since_ms: Some(10_000),
         reads_store: false,
-        is_fed: true,
+        receives_store_updates: true,
         list_age_ms: 0,
     };
     assert!(told.needs_fetch(10_000), "nothing else brings it");
