--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -296,9 +296,9 @@
         ));
     }
     // These statuses promise that nothing ran, but the endpoint does not confirm it.
-    let promises_unrun = matches!(status.as_u16(), 408 | 429 | 503);
+    let promises_not_run = matches!(status.as_u16(), 408 | 429 | 503);
     let is_unsealed = status.is_success() && !facts.is_sealed;
-    (promises_unrun || is_unsealed).then_some(AttemptResult::Failed(
+    (promises_not_run || is_unsealed).then_some(AttemptResult::Failed(
         AttemptOutcome::Abandoned,
         EndpointFailure::Failed,
     ))
--- a/src/relay_server/stream/go_on.rs
+++ b/src/relay_server/stream/go_on.rs
@@ -22,7 +22,7 @@
     pub(super) async fn chain_to_resume(&mut self) -> Result<Chain, RefusalCause> {
         let mut signal = self.node.chain_check_signal.subscribe();
         let mut reported = None;
-        let mut probe_due_ms = 0;
+        let mut demand_due_ms = 0;
         loop {
             self.check_withheld()?;
             self.forget_ended();
@@ -35,8 +35,8 @@
                 reported = Some(blocker.name());
                 self.log_wait(blocker, now_ms);
             }
-            if matches!(blocker, ResumeBlocker::Retry { .. }) && now_ms >= probe_due_ms {
-                probe_due_ms = now_ms + DEMAND_REPORT_INTERVAL_MS;
+            if matches!(blocker, ResumeBlocker::Retry { .. }) && now_ms >= demand_due_ms {
+                demand_due_ms = now_ms + DEMAND_REPORT_INTERVAL_MS;
                 self.request_loan();
             }
             tokio::select! {
--- a/src/relay_server/stream/plan.rs
+++ b/src/relay_server/stream/plan.rs
@@ -25,8 +25,8 @@
     A: Adapter,
 {
     /// The chain for a run, or an alternative that keeps the first stage of the current run.
-    pub(super) fn plan(&self, present: Option<&Chain>) -> Option<Chain> {
-        self.plan_with(&self.attempts, present)
+    pub(super) fn plan(&self, current: Option<&Chain>) -> Option<Chain> {
+        self.plan_with(&self.attempts, current)
     }
 
     /// Waits briefly for a chain whose engines have not rejected requests recently. Sending to a
@@ -97,16 +97,16 @@
         !chain.stages().iter().any(|stage| is_full(&stage.endpoint))
     }
 
-    pub(super) fn plan_with(&self, attempts: &Attempts, present: Option<&Chain>) -> Option<Chain> {
+    pub(super) fn plan_with(&self, attempts: &Attempts, current: Option<&Chain>) -> Option<Chain> {
         let fleet = self.node.fleet.borrow();
-        let ask = self.chain_ask(attempts, present)?;
+        let ask = self.chain_ask(attempts, current)?;
         plan_chain(&fleet, ask, boot_ms())
     }
 
     pub(super) fn chain_ask<'a>(
         &'a self,
         attempts: &'a Attempts,
-        present: Option<&'a Chain>,
+        current: Option<&'a Chain>,
     ) -> Option<ChainRequest<'a>> {
         let service = self.request.table.services.get(&self.request.service)?;
         Some(ChainRequest {
@@ -116,7 +116,7 @@
             tokens: self.request.held_tokens(),
             excluded: attempts.excluded(),
             first_among: attempts.restricted_to(),
-            first: present.map(Chain::first),
+            first: current.map(Chain::first),
         })
     }
 
--- a/src/relay_server/stream/repair.rs
+++ b/src/relay_server/stream/repair.rs
@@ -126,8 +126,8 @@
     }
 
     /// Whether another run could resume where the current one stands.
-    fn can_resume(&self, present: &Chain) -> bool {
-        let Some(trial) = self.attempts.after_losing(&present.first().endpoint) else {
+    fn can_resume(&self, current: &Chain) -> bool {
+        let Some(trial) = self.attempts.after_losing(&current.first().endpoint) else {
             return false;
         };
         if self.plan_with(&trial, None).is_none() {
@@ -167,16 +167,16 @@
 
     /// A chain without the lost stages that keeps as many other stages as possible, because new
     /// ones process all tokens again.
-    fn plan_around(&self, present: &Chain, lost: &[EndpointId]) -> Option<Chain> {
+    fn plan_around(&self, current: &Chain, lost: &[EndpointId]) -> Option<Chain> {
         let fleet = self.node.fleet.borrow();
         let ask = self.chain_ask(&self.attempts, None)?;
         let now_ms = boot_ms();
-        let mut chain = Some(present.clone());
+        let mut chain = Some(current.clone());
         for endpoint in lost {
             chain = chain.and_then(|it| replace_stage(&fleet, ask, &it, endpoint, now_ms));
         }
         drop(fleet);
-        chain.or_else(|| self.plan(Some(present)))
+        chain.or_else(|| self.plan(Some(current)))
     }
 
     /// Stages that have exited, are excluded for this request, or count as dead while the run is
