--- a/src/relay_server/tests.rs
+++ b/src/relay_server/tests.rs
@@ -178,7 +178,7 @@
         let state = SyncState {
             behind_since_ms,
             reads_store: true,
-            is_fed: store_answers,
+            receives_store_updates: store_answers,
             list_age_ms,
         };
         state.needs_fetch(10_000)
@@ -194,7 +194,7 @@
     let fed_by_zone = SyncState {
         behind_since_ms: Some(10_000),
         reads_store: false,
-        is_fed: true,
+        receives_store_updates: true,
         list_age_ms: 0,
     };
     assert!(fed_by_zone.needs_fetch(10_000), "nothing else delivers it");
