--- a/src/relay_server/document_distribution_tests/world.rs
+++ b/src/relay_server/document_distribution_tests/world.rs
@@ -12,7 +12,7 @@
 use super::super::peer::SyncSource;
 use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
 use super::super::peer_selection::{FetchDecision, PartialFetches, PeerSelector, SyncState};
-use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, LOOK_MS};
+use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, POLL_INTERVAL_MS};
 use super::super::store_readers::READERS_PER_ZONE;
 use super::super::uplink::{Admission, Uplink};
 use super::links::{LinkEvent, Links, Transfer};
@@ -256,7 +256,7 @@
             Event::Read { table } | Event::InForce { table } => self.take(index, table),
             Event::Look => {
                 self.look(index);
-                self.push(index, LOOK_MS * 1_000, Event::Look);
+                self.push(index, POLL_INTERVAL_MS * 1_000, Event::Look);
             }
             Event::LookAgain => self.look(index),
             Event::Asked { by, call, holds } => self.answer(index, by, call, holds),
--- a/src/relay_server/document_parts.rs
+++ b/src/relay_server/document_parts.rs
@@ -1,57 +1,57 @@
-//! A document that is handed over in parts, perhaps by several peers: all that have a version have the
-//! same bytes, so that a call that fails costs one part only.
+//! Transfer of a document in parts, possibly from several peers. All instances have the same bytes
+//! for the same version, so a failed call loses only one part.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
 use super::query::query_pairs;
 
-/// Longest document that is taken.
-const LONGEST_DOCUMENT_BYTES: u64 = 8 << 20;
+/// Longest document that is accepted.
+const MAX_DOCUMENT_BYTES: u64 = 8 << 20;
 
-/// What one that asks wants of the document.
+/// Which part of the document is requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct DocumentQuery {
-    /// Whether it wants any of it.
+    /// Whether the document is requested at all.
     pub(super) is_wanted: bool,
-    /// The version of which it has parts; 0 if it has none.
+    /// The version that the received parts belong to; 0 if there are none.
     pub(super) version: u64,
-    /// How many bytes of that it has.
-    pub(super) from_bytes: u64,
+    /// Number of bytes of that version that have been received.
+    pub(super) received_bytes: u64,
 }
 
 impl DocumentQuery {
-    /// The query as it is written.
-    pub(super) fn text(self) -> String {
+    /// Formats the query for a URL.
+    pub(super) fn to_query_string(self) -> String {
         let wanted = u8::from(self.is_wanted);
         let Self {
             version,
-            from_bytes,
+            received_bytes,
             ..
         } = self;
-        format!("document={wanted}&version={version}&from={from_bytes}")
+        format!("document={wanted}&version={version}&from={received_bytes}")
     }
 
-    /// Reads the query of a question. What is missing or no number counts as not wanted or not there.
+    /// Parses the query of a request. Missing and malformed values count as 0.
     pub(super) fn from_query(query: &str) -> Self {
-        let mut read = Self::default();
+        let mut parsed = Self::default();
         for (name, value) in query_pairs(query) {
             let value = value.parse().unwrap_or(0);
             match name {
-                "document" => read.is_wanted = value != 0,
-                "version" => read.version = value,
-                "from" => read.from_bytes = value,
+                "document" => parsed.is_wanted = value != 0,
+                "version" => parsed.version = value,
+                "from" => parsed.received_bytes = value,
                 _ => {}
             }
         }
-        read
+        parsed
     }
 
-    /// From where on it lacks a document of this version and length.
-    pub(super) fn begin_bytes(self, version: u64, total_bytes: usize) -> usize {
-        let from_bytes = usize::try_from(self.from_bytes).unwrap_or(0);
-        let goes_on = self.version == version && from_bytes < total_bytes;
-        if goes_on { from_bytes } else { 0 }
+    /// Offset of the first missing byte in a document of this version and length.
+    pub(super) fn resume_offset(self, version: u64, total_bytes: usize) -> usize {
+        let received_bytes = usize::try_from(self.received_bytes).unwrap_or(0);
+        let can_resume = self.version == version && received_bytes < total_bytes;
+        if can_resume { received_bytes } else { 0 }
     }
 }
 
@@ -59,111 +59,114 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct DocumentPart {
     pub(super) version: u64,
-    /// Length of the whole document.
+    /// Length of the complete document.
     pub(super) total_bytes: u64,
-    /// Where in it this part begins.
-    pub(super) from_bytes: u64,
+    /// Offset of this part in the document.
+    pub(super) offset_bytes: u64,
     pub(super) content: Vec<u8>,
-    /// Time since the version was surely the newest.
+    /// Time since this version was last known to be the newest.
     pub(super) age_ms: u64,
 }
 
-/// What a peer says of the document.
+/// A peer's reply about the document.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum DocumentNews {
-    /// It has none that is newer, or was not asked for it.
+pub(super) enum DocumentReply {
+    /// The peer has no newer version, or the document was not requested.
     Nothing,
+    /// A part of a newer version.
     Part(DocumentPart),
-    /// It has a newer one, and its link no room for it.
+    /// The peer has a newer version, but its link has no capacity for a part of it.
     Busy {
+        /// How long to wait before the next request.
         wait_ms: u64,
     },
 }
 
-/// Why a part cannot be used.
+/// Why a part was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub(super) enum PartFault {
-    #[error("the part does not fit to what is here")]
-    DoesNotFit,
-    #[error("the document is too long")]
+pub(super) enum DocumentPartError {
+    #[error("part of the document does not continue the parts received so far")]
+    OutOfSequence,
+    #[error("document is longer than {MAX_DOCUMENT_BYTES} bytes")]
     TooLong,
-    #[error("the document is not text")]
-    NotText,
+    #[error("document is not valid UTF-8")]
+    NotUtf8,
 }
 
-/// A document whose last part has come.
+/// A document whose last part has been received.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct WholeDocument {
+pub(super) struct CompleteDocument {
     pub(super) content: String,
-    /// When it was surely the newest.
+    /// Time at which this version was known to be the newest.
     pub(super) newest_at_ms: u64,
 }
 
-/// The parts that are here.
+/// A document of which only some parts have been received.
 #[derive(Debug, Default)]
-pub(super) struct DocumentParts {
-    /// Their version; 0 while there are none.
+pub(super) struct PartialDocument {
+    /// Version of the parts; 0 if there are none.
     version: u64,
-    /// The document up to where it is here.
+    /// The bytes received so far, from the start of the document.
     content: Vec<u8>,
 }
 
-impl DocumentParts {
-    /// The version of which parts are here.
+impl PartialDocument {
+    /// Version of the received parts.
     pub(super) fn version(&self) -> Option<u64> {
         Some(self.version).filter(|it| *it > 0)
     }
 
-    /// What is to be asked for.
+    /// The query for the next part.
     pub(super) fn query(&self, is_wanted: bool) -> DocumentQuery {
         DocumentQuery {
             is_wanted,
             version: self.version,
-            from_bytes: self.content.len() as u64,
+            received_bytes: self.content.len() as u64,
         }
     }
 
-    /// Drops parts of a version that is not newer than `known`. Returns how many bytes they had.
-    pub(super) fn drop_known(&mut self, known: u64) -> usize {
+    /// Discards parts of a version that is not newer than `known`. Returns the number of discarded
+    /// bytes.
+    pub(super) fn discard_known(&mut self, known: u64) -> usize {
         if self.version > known {
             return 0;
         }
         self.clear()
     }
 
-    /// Takes a part that was asked for at `sent_ms`. Returns the document if that was the last one, and
-    /// how many bytes of another version were dropped for it.
-    pub(super) fn take(
+    /// Adds a part that was requested at `sent_ms`. Returns the document if this was the last part,
+    /// and the number of bytes of another version that were discarded.
+    pub(super) fn add(
         &mut self,
         part: DocumentPart,
         sent_ms: u64,
-    ) -> Result<(Option<WholeDocument>, usize), PartFault> {
-        if part.total_bytes > LONGEST_DOCUMENT_BYTES {
-            return Err(PartFault::TooLong);
+    ) -> Result<(Option<CompleteDocument>, usize), DocumentPartError> {
+        if part.total_bytes > MAX_DOCUMENT_BYTES {
+            return Err(DocumentPartError::TooLong);
         }
-        let dropped_bytes = if part.version == self.version {
+        let discarded_bytes = if part.version == self.version {
             0
         } else {
             self.clear()
         };
-        let here_bytes = self.content.len() as u64;
-        let end_bytes = here_bytes + part.content.len() as u64;
-        if part.from_bytes != here_bytes || end_bytes > part.total_bytes {
-            return Err(PartFault::DoesNotFit);
+        let received_bytes = self.content.len() as u64;
+        let end_bytes = received_bytes + part.content.len() as u64;
+        if part.offset_bytes != received_bytes || end_bytes > part.total_bytes {
+            return Err(DocumentPartError::OutOfSequence);
         }
         self.version = part.version;
         self.content.extend(part.content);
         if end_bytes < part.total_bytes {
-            return Ok((None, dropped_bytes));
+            return Ok((None, discarded_bytes));
         }
         let content = std::mem::take(&mut self.content);
         self.version = 0;
-        let content = String::from_utf8(content).map_err(|_| PartFault::NotText)?;
-        let whole = WholeDocument {
+        let content = String::from_utf8(content).map_err(|_| DocumentPartError::NotUtf8)?;
+        let complete = CompleteDocument {
             content,
             newest_at_ms: sent_ms.saturating_sub(part.age_ms),
         };
-        Ok((Some(whole), dropped_bytes))
+        Ok((Some(complete), discarded_bytes))
     }
 
     fn clear(&mut self) -> usize {
--- a/src/relay_server/list_log.rs
+++ b/src/relay_server/list_log.rs
@@ -1,6 +1,8 @@
-//! The newest reads of the endpoint list, kept for instances that do not read the store themselves.
+//! Bounded log of the latest changes to the endpoint list, for instances that do not read the store
+//! themselves.
 //!
-//! Positions are the store's: they grow with every change of anything, and all instances count alike.
+//! The store assigns positions. They increase with every write to the store, including writes that
+//! do not concern the list, and have the same meaning on all instances.
 
 use std::collections::VecDeque;
 
@@ -8,115 +10,118 @@
 
 use crate::fleet::{ListedEndpoint, ListingRead, ListingScope};
 
-/// Reads that are kept. The list is read four times a second at most, so that one that has heard
-/// nothing for 16 s still needs no more than the changes.
-const MOST_READS: usize = 64;
+/// Number of reads kept. The list is read at most four times a second, so an instance that has
+/// received nothing for 16 s can still catch up from the changes alone.
+const MAX_READS: usize = 64;
 
-/// How far an instance knows the list of endpoints.
+/// How much of the history of the endpoint list an instance knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ListWatermark {
-    /// Position up to which it is known; 0 if nothing is.
+    /// Position up to which the list is known; 0 if it is not known at all.
     pub(crate) position: u64,
-    /// Position of the newest read that brought anything. Never above `position`.
+    /// Position of the newest read that contained changes. Never above `position`.
     pub(crate) last_change: u64,
 }
 
-/// A read of the list that brought changes.
+/// A read of the list that contained changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LoggedRead {
     pub(crate) position: u64,
     pub(crate) read: ListingRead,
-    /// The list could not be read or kept shortly before, so that entries may be missing from it
-    /// although their endpoints live.
-    pub(crate) was_away: bool,
+    /// The store failed to return or keep the list shortly before this read, so entries of live
+    /// endpoints may be missing.
+    pub(crate) after_outage: bool,
 }
 
-/// What an instance that knows the list up to some position is told.
+/// Difference between the current list and the list at an earlier position.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(crate) enum ListNews {
-    /// Nothing that it does not know.
-    Nothing,
-    /// What has changed since, in order.
+pub(crate) enum ListDelta {
+    /// Nothing has changed since that position.
+    Unchanged,
+    /// All reads with changes since then, oldest first.
     Changes(Vec<LoggedRead>),
-    /// The whole list.
-    Whole(Vec<ListedEndpoint>),
+    /// The full list, sent when the log no longer reaches back to that position.
+    Full(Vec<ListedEndpoint>),
 }
 
-/// Reads of the list, the newest last.
+/// Reads of the list, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct ListLog {
-    mark: ListWatermark,
-    /// Whoever knows the list up to here needs only the reads that are kept.
-    floor: u64,
+    watermark: ListWatermark,
+    /// Position from which `reads` contains every change.
+    complete_from: u64,
     reads: VecDeque<LoggedRead>,
 }
 
 impl ListLog {
-    /// How far the list is known here.
+    /// How much of the list's history this instance knows.
     pub(crate) fn watermark(&self) -> ListWatermark {
-        self.mark
+        self.watermark
     }
 
-    /// Notes a read of the store.
-    pub(crate) fn note(&mut self, position: u64, read: &ListingRead, was_away: bool) {
+    /// Records a read of the store.
+    pub(crate) fn record(&mut self, position: u64, read: &ListingRead, after_outage: bool) {
         let ListingScope::Changes { removed } = &read.scope else {
-            return self.restart(ListWatermark {
+            return self.reset(ListWatermark {
                 position,
                 last_change: position,
             });
         };
-        if position <= self.mark.position {
+        if position <= self.watermark.position {
             return;
         }
-        self.mark.position = position;
+        self.watermark.position = position;
         let is_empty = removed.is_empty() && read.entries.is_empty() && read.unusable.is_empty();
         if is_empty {
             return;
         }
-        self.mark.last_change = position;
+        self.watermark.last_change = position;
         self.reads.push_back(LoggedRead {
             position,
             read: read.clone(),
-            was_away,
+            after_outage,
         });
-        if self.reads.len() > MOST_READS
+        if self.reads.len() > MAX_READS
             && let Some(dropped) = self.reads.pop_front()
         {
-            self.floor = dropped.position;
+            self.complete_from = dropped.position;
         }
     }
 
-    /// Notes that the whole list was taken: what changed on the way to it is not known.
-    pub(crate) fn restart(&mut self, mark: ListWatermark) {
+    /// Clears the log after a full list has been applied: the individual changes that led to it are
+    /// not known.
+    pub(crate) fn reset(&mut self, watermark: ListWatermark) {
         self.reads.clear();
-        self.floor = mark.position;
-        self.mark = mark;
+        self.complete_from = watermark.position;
+        self.watermark = watermark;
     }
 
-    /// Notes that a peer which knows the list up to `peer` has nothing that is not known here.
-    pub(crate) fn confirm(&mut self, peer: ListWatermark) {
-        if self.mark.position >= peer.last_change {
-            self.mark.position = self.mark.position.max(peer.position);
+    /// Advances the position to that of a peer, if this instance already knows all changes known to
+    /// the peer.
+    pub(crate) fn advance_to(&mut self, peer: ListWatermark) {
+        if self.watermark.position >= peer.last_change {
+            self.watermark.position = self.watermark.position.max(peer.position);
         }
     }
 
-    /// Whether one that knows the list up to `position` lacks more than is kept of its changes.
-    pub(crate) fn needs_whole(&self, position: u64) -> bool {
-        position < self.mark.last_change && position < self.floor
+    /// Whether an instance at `position` cannot catch up from the changes that are kept.
+    pub(crate) fn needs_full_list(&self, position: u64) -> bool {
+        position < self.watermark.last_change && position < self.complete_from
     }
 
-    /// What one that knows the list up to `position` must be told; `whole` makes the whole list.
-    pub(crate) fn news_since<F>(&self, position: u64, whole: F) -> ListNews
+    /// What an instance at `position` is missing. `full_list` is called only if it needs the full
+    /// list.
+    pub(crate) fn delta_since<F>(&self, position: u64, full_list: F) -> ListDelta
     where
         F: FnOnce() -> Vec<ListedEndpoint>,
     {
-        if position >= self.mark.last_change {
-            return ListNews::Nothing;
+        if position >= self.watermark.last_change {
+            return ListDelta::Unchanged;
         }
-        if self.needs_whole(position) {
-            return ListNews::Whole(whole());
+        if self.needs_full_list(position) {
+            return ListDelta::Full(full_list());
         }
         let newer = self.reads.iter().filter(|read| read.position > position);
-        ListNews::Changes(newer.cloned().collect())
+        ListDelta::Changes(newer.cloned().collect())
     }
 }
--- a/src/relay_server/list_log_tests.rs
+++ b/src/relay_server/list_log_tests.rs
@@ -1,8 +1,8 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-use super::list_log::{ListLog, ListNews, ListWatermark};
-use crate::fleet::{Fleet, ListedEndpoint, ListingRead, Phase};
+use super::list_log::{ListDelta, ListLog, ListWatermark};
+use crate::fleet::{Fleet, KnownEndpoint, ListedEndpoint, ListingRead, Phase};
 use crate::ids::{EndpointId, EndpointName, ServiceName, ZoneName};
 
 fn entry(number: u8, phase: Phase, slots: u32) -> ListedEndpoint {
@@ -18,9 +18,9 @@
     }
 }
 
-fn names(read: &[u8]) -> Vec<EndpointName> {
+fn names(numbers: &[u8]) -> Vec<EndpointName> {
     let name = |number| EndpointId::from(format!("e{number}")).name();
-    read.iter().map(name).collect()
+    numbers.iter().map(name).collect()
 }
 
 fn changes(put: &[u8], removed: &[u8]) -> ListingRead {
@@ -28,22 +28,22 @@
     ListingRead::changes(entries.collect(), names(removed))
 }
 
-fn none_needed() -> Vec<ListedEndpoint> {
-    panic!("the whole list is not needed")
+fn unexpected_full_list() -> Vec<ListedEndpoint> {
+    panic!("the full list is not needed")
 }
 
 #[test]
-fn one_that_is_behind_is_told_what_has_changed_since() {
+fn delta_contains_the_changes_after_the_given_position() {
     let mut log = ListLog::default();
-    log.note(
+    log.record(
         10,
         &ListingRead::full(vec![entry(1, Phase::Live, 1)]),
         false,
     );
-    log.note(14, &changes(&[2], &[]), false);
-    log.note(15, &changes(&[], &[]), false);
-    log.note(19, &changes(&[], &[1]), true);
-    log.note(25, &changes(&[], &[]), false);
+    log.record(14, &changes(&[2], &[]), false);
+    log.record(15, &changes(&[], &[]), false);
+    log.record(19, &changes(&[], &[1]), true);
+    log.record(25, &changes(&[], &[]), false);
     assert_eq!(
         log.watermark(),
         ListWatermark {
@@ -51,25 +51,31 @@
             last_change: 19
         }
     );
-    assert_eq!(log.news_since(19, none_needed), ListNews::Nothing);
-    assert_eq!(log.news_since(22, none_needed), ListNews::Nothing);
-    let ListNews::Changes(newer) = log.news_since(14, none_needed) else {
+    assert_eq!(
+        log.delta_since(19, unexpected_full_list),
+        ListDelta::Unchanged
+    );
+    assert_eq!(
+        log.delta_since(22, unexpected_full_list),
+        ListDelta::Unchanged
+    );
+    let ListDelta::Changes(newer) = log.delta_since(14, unexpected_full_list) else {
         panic!("changes are kept");
     };
     assert_eq!(newer.len(), 1);
-    assert!(newer[0].was_away);
-    let ListNews::Changes(newer) = log.news_since(10, none_needed) else {
+    assert!(newer[0].after_outage);
+    let ListDelta::Changes(newer) = log.delta_since(10, unexpected_full_list) else {
         panic!("changes are kept");
     };
     assert_eq!(newer.len(), 2);
-    assert_eq!(log.news_since(9, Vec::new), ListNews::Whole(Vec::new()));
+    assert_eq!(log.delta_since(9, Vec::new), ListDelta::Full(Vec::new()));
 }
 
 #[test]
-fn a_peer_that_knows_of_no_change_confirms_the_list() {
+fn a_peer_without_unknown_changes_advances_the_position() {
     let mut log = ListLog::default();
-    log.note(10, &ListingRead::full(Vec::new()), false);
-    log.confirm(ListWatermark {
+    log.record(10, &ListingRead::full(Vec::new()), false);
+    log.advance_to(ListWatermark {
         position: 30,
         last_change: 9,
     });
@@ -80,42 +86,46 @@
             last_change: 10
         }
     );
-    log.confirm(ListWatermark {
+    log.advance_to(ListWatermark {
         position: 40,
         last_change: 35,
     });
-    assert_eq!(log.watermark().position, 30, "a change is not known here");
+    assert_eq!(
+        log.watermark().position,
+        30,
+        "the peer knows of a change that is not known here"
+    );
 }
 
 #[test]
-fn one_that_is_far_behind_is_told_the_whole() {
+fn delta_is_the_full_list_when_older_changes_are_not_kept() {
     let mut log = ListLog::default();
-    log.note(1, &ListingRead::full(Vec::new()), false);
+    log.record(1, &ListingRead::full(Vec::new()), false);
     for position in 2..200 {
-        log.note(position, &changes(&[1], &[]), false);
+        log.record(position, &changes(&[1], &[]), false);
     }
-    assert_eq!(log.news_since(5, Vec::new), ListNews::Whole(Vec::new()));
+    assert_eq!(log.delta_since(5, Vec::new), ListDelta::Full(Vec::new()));
     assert!(matches!(
-        log.news_since(150, none_needed),
-        ListNews::Changes(_)
+        log.delta_since(150, unexpected_full_list),
+        ListDelta::Changes(_)
     ));
 }
 
 proptest! {
-    /// Whoever is told by one that reads the store, now and then and by way of others, ends with the
-    /// list of the store.
+    /// Instances that receive updates at random times, directly from a reader of the store or
+    /// through each other, end with the list of the store.
     #[test]
-    fn those_that_are_told_know_what_the_store_has(
+    fn instances_converge_to_the_list_of_the_store(
         steps in prop::collection::vec((0..6_u8, any::<bool>(), 1..4_u32, 0..4_u8), 1..150),
     ) {
         let mut position = 1;
         let mut store: IndexMap<u8, ListedEndpoint> = IndexMap::new();
         let mut reader = (ListLog::default(), Fleet::default());
         let first = ListingRead::full(Vec::new());
-        reader.0.note(position, &first, false);
+        reader.0.record(position, &first, false);
         reader.1.apply_read(first, false, 0);
-        let mut told = [(ListLog::default(), Fleet::default()), (ListLog::default(), Fleet::default())];
-        for (number, is_removed, slots, who) in steps {
+        let mut others = [(ListLog::default(), Fleet::default()), (ListLog::default(), Fleet::default())];
+        for (number, is_removed, slots, transfer) in steps {
             position += 3;
             let read = if is_removed {
                 store.swap_remove(&number);
@@ -124,52 +134,52 @@
                 store.insert(number, entry(number, Phase::Live, slots));
                 ListingRead::changes(vec![entry(number, Phase::Live, slots)], Vec::new())
             };
-            reader.0.note(position, &read, false);
+            reader.0.record(position, &read, false);
             reader.1.apply_read(read, false, 0);
-            match who {
-                0 => tell(&reader, &mut told[0]),
+            match transfer {
+                0 => update(&reader, &mut others[0]),
                 1 => {
-                    let (first, second) = told.split_at_mut(1);
-                    tell(&first[0], &mut second[0]);
+                    let (first, second) = others.split_at_mut(1);
+                    update(&first[0], &mut second[0]);
                 }
-                2 => tell(&reader, &mut told[1]),
+                2 => update(&reader, &mut others[1]),
                 _ => {}
             }
         }
-        for one in &mut told {
-            tell(&reader, one);
-            let mut known: Vec<(String, u32)> = one.1.iter().map(as_pair).collect();
-            let mut wanted: Vec<(String, u32)> = reader.1.iter().map(as_pair).collect();
+        for other in &mut others {
+            update(&reader, other);
+            let mut known: Vec<(String, u32)> = other.1.iter().map(id_and_slots).collect();
+            let mut expected: Vec<(String, u32)> = reader.1.iter().map(id_and_slots).collect();
             known.sort();
-            wanted.sort();
-            prop_assert_eq!(&known, &wanted);
+            expected.sort();
+            prop_assert_eq!(&known, &expected);
             prop_assert_eq!(known.len(), store.len());
-            prop_assert_eq!(one.0.watermark().position, reader.0.watermark().position);
+            prop_assert_eq!(other.0.watermark().position, reader.0.watermark().position);
         }
     }
 }
 
-fn as_pair(known: &crate::fleet::KnownEndpoint) -> (String, u32) {
+fn id_and_slots(known: &KnownEndpoint) -> (String, u32) {
     (known.id().to_string(), known.listed.slots)
 }
 
-/// Tells one instance what another knows.
-fn tell(from: &(ListLog, Fleet), to: &mut (ListLog, Fleet)) {
+/// Brings one instance up to date with another.
+fn update(from: &(ListLog, Fleet), to: &mut (ListLog, Fleet)) {
     match from
         .0
-        .news_since(to.0.watermark().position, || from.1.listed_endpoints())
+        .delta_since(to.0.watermark().position, || from.1.listed_endpoints())
     {
-        ListNews::Nothing => {}
-        ListNews::Changes(reads) => {
-            for it in reads {
-                to.0.note(it.position, &it.read, it.was_away);
-                to.1.apply_read(it.read, it.was_away, 0);
+        ListDelta::Unchanged => {}
+        ListDelta::Changes(reads) => {
+            for logged in reads {
+                to.0.record(logged.position, &logged.read, logged.after_outage);
+                to.1.apply_read(logged.read, logged.after_outage, 0);
             }
         }
-        ListNews::Whole(entries) => {
-            to.0.restart(from.0.watermark());
+        ListDelta::Full(entries) => {
+            to.0.reset(from.0.watermark());
             to.1.apply_read(ListingRead::full(entries), false, 0);
         }
     }
-    to.0.confirm(from.0.watermark());
+    to.0.advance_to(from.0.watermark());
 }
--- a/src/relay_server/list_parts.rs
+++ b/src/relay_server/list_parts.rs
@@ -1,11 +1,13 @@
-//! The whole list of endpoints, handed over in parts. One that has just started lacks all of it, and so
-//! do all instances after a loss of power: hundreds that fetch thousands of entries at once would fill the
-//! links of those that have them, and no call would end in time.
+//! Transfer of the full endpoint list in parts.
+//!
+//! An instance that has just started needs the full list, and after a power failure so do all
+//! instances at once. If hundreds of them fetched thousands of entries in one call each, the links
+//! of the instances that have the list would fill up and no call would finish in time.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-use super::list_log::{ListNews, ListWatermark};
+use super::list_log::{ListDelta, ListWatermark};
 use super::list_sync::ListUpdate;
 use super::peer::SyncSource;
 use super::query::query_pairs;
@@ -13,202 +15,212 @@
 use crate::fleet::ListedEndpoint;
 use crate::ids::InstanceId;
 
-/// Bytes that an entry takes in an answer; few take more.
+/// Estimated size of a serialized entry; few are larger.
 const ENTRY_BYTES: usize = 80;
-/// Most entries that are taken: far more than a deployment has.
-const MOST_ENTRIES: u32 = 100_000;
+/// Longest list that is accepted, far more than a deployment has.
+const MAX_ENTRIES: u32 = 100_000;
 
-/// What one that asks has of a whole list.
+/// How much of the full list the requesting instance already has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct ListQuery {
-    /// Whether it wants the whole list where what has changed is not enough. It does not while it gets
-    /// the list from another peer.
-    pub(super) wants_whole: bool,
-    /// The list of which it has parts, by the position of its last change; 0 if it has none.
-    pub(super) changed: u64,
-    /// How many entries of that it has.
+    /// Whether to send the full list if the changes alone are not enough. Not set while another
+    /// peer is sending the full list.
+    pub(super) wants_full: bool,
+    /// The list that the received parts belong to, by the position of its last change; 0 if there
+    /// are none.
+    pub(super) last_change: u64,
+    /// Number of entries of that list that have been received.
     pub(super) entries: u32,
 }
 
 impl ListQuery {
-    /// The query as it is written.
-    pub(super) fn text(self) -> String {
-        let whole = u8::from(self.wants_whole);
+    /// Formats the query for a URL.
+    pub(super) fn to_query_string(self) -> String {
+        let full = u8::from(self.wants_full);
         let Self {
-            changed, entries, ..
+            last_change,
+            entries,
+            ..
         } = self;
-        format!("whole={whole}&changed={changed}&entries={entries}")
+        format!("whole={full}&changed={last_change}&entries={entries}")
     }
 
-    /// Reads the query of a question. What is missing or no number counts as not there.
+    /// Parses the query of a request. Missing and malformed values count as 0.
     pub(super) fn from_query(query: &str) -> Self {
-        let mut read = Self::default();
+        let mut parsed = Self::default();
         for (name, value) in query_pairs(query) {
             match name {
-                "whole" => read.wants_whole = value == "1",
-                "changed" => read.changed = value.parse().unwrap_or(0),
-                "entries" => read.entries = value.parse().unwrap_or(0),
+                "whole" => parsed.wants_full = value == "1",
+                "changed" => parsed.last_change = value.parse().unwrap_or(0),
+                "entries" => parsed.entries = value.parse().unwrap_or(0),
                 _ => {}
             }
         }
-        read
+        parsed
     }
 }
 
-/// What a peer says of the list of endpoints.
+/// A peer's reply about the endpoint list.
 #[derive(Debug, Serialize, Deserialize)]
-pub(super) enum ListOffer {
-    /// What has changed since the list that the other has, or nothing.
+pub(super) enum ListReply {
+    /// The changes since the requester's position, if any.
     Update(ListUpdate),
+    /// A part of the full list.
     Part(ListPart),
-    /// The other lacks the whole list, and the link has no room for a part of it.
+    /// The requester needs the full list, but the sender's link has no capacity for a part of it.
     Busy {
+        /// How long to wait before the next request.
         wait_ms: u64,
     },
 }
 
-/// A part of the whole list.
+/// A part of the full list.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(super) struct ListPart {
-    /// How far the peer knows the list.
-    pub(super) mark: ListWatermark,
-    /// Entries of the whole list.
+    /// How much of the list's history the sender knows.
+    pub(super) watermark: ListWatermark,
+    /// Number of entries in the full list.
     pub(super) total: u32,
-    /// Where in it this part begins.
-    pub(super) from: u32,
+    /// Index of the first entry of this part in the full list.
+    pub(super) offset: u32,
     pub(super) entries: Vec<ListedEndpoint>,
 }
 
-/// The rest of a whole list that one lacks which has so far.
+/// The entries of a full list that the requesting instance is missing.
 #[derive(Debug)]
-pub(super) struct ListRest {
-    mark: ListWatermark,
-    from: usize,
+pub(super) struct RemainingList {
+    watermark: ListWatermark,
+    offset: usize,
     entries: Vec<ListedEndpoint>,
 }
 
-impl ListRest {
-    /// The rest of a list, where the other has what `query` names. Entries are told in an order that
-    /// stays the same as long as the list does.
+impl RemainingList {
+    /// Creates the remainder for a requester that already has what `query` says. Entries are sorted
+    /// by id, so that their order stays the same for as long as the list does not change.
     pub(super) fn new(
-        mark: ListWatermark,
+        watermark: ListWatermark,
         mut entries: Vec<ListedEndpoint>,
         query: ListQuery,
     ) -> Self {
         entries.sort_unstable_by(|a, b| a.id.as_str().cmp(b.id.as_str()));
-        let has = usize::try_from(query.entries).unwrap_or(usize::MAX);
-        let goes_on = query.changed == mark.last_change && has < entries.len();
+        let received = usize::try_from(query.entries).unwrap_or(usize::MAX);
+        let can_resume = query.last_change == watermark.last_change && received < entries.len();
         Self {
-            mark,
-            from: if goes_on { has } else { 0 },
+            watermark,
+            offset: if can_resume { received } else { 0 },
             entries,
         }
     }
 
-    /// Length of the rest, about.
-    pub(super) fn bytes(&self) -> usize {
-        (self.entries.len() - self.from) * ENTRY_BYTES
+    /// Estimated size of the remainder.
+    pub(super) fn estimated_bytes(&self) -> usize {
+        (self.entries.len() - self.offset) * ENTRY_BYTES
     }
 
-    /// As much of it as takes about so many bytes, one entry at least.
-    pub(super) fn part(mut self, bytes: usize) -> ListPart {
+    /// Returns the next part of about `max_bytes`, with at least one entry.
+    pub(super) fn into_part(mut self, max_bytes: usize) -> ListPart {
         let total = self.entries.len();
-        let count = (bytes / ENTRY_BYTES).max(1);
-        let end = total.min(self.from.saturating_add(count));
+        let count = (max_bytes / ENTRY_BYTES).max(1);
+        let end = total.min(self.offset.saturating_add(count));
         ListPart {
-            mark: self.mark,
-            total: as_count(total),
-            from: as_count(self.from),
-            entries: self.entries.drain(self.from..end).collect(),
+            watermark: self.watermark,
+            total: to_count(total),
+            offset: to_count(self.offset),
+            entries: self.entries.drain(self.offset..end).collect(),
         }
     }
 }
 
-fn as_count(entries: usize) -> u32 {
+fn to_count(entries: usize) -> u32 {
     u32::try_from(entries).unwrap_or(u32::MAX)
 }
 
-/// Why a part cannot be used.
+/// Why a part was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub(super) enum ListPartFault {
-    #[error("the part of the list does not fit to what is here")]
-    DoesNotFit,
-    #[error("the list is too long")]
+pub(super) enum ListPartError {
+    #[error("part of the endpoint list does not continue the parts received so far")]
+    OutOfSequence,
+    #[error("endpoint list has more than {MAX_ENTRIES} entries")]
     TooLong,
 }
 
-/// The parts that are here, all of one peer.
+/// A full list of which only some parts have been received, all from the same peer.
 #[derive(Debug, Default)]
-pub(super) struct ListParts {
-    giver: Option<InstanceId>,
-    /// Position of the last change of the list that they are of.
-    changed: u64,
+pub(super) struct PartialList {
+    provider: Option<InstanceId>,
+    /// Position of the last change of the list that the parts belong to.
+    last_change: u64,
     entries: Vec<ListedEndpoint>,
 }
 
-impl ListParts {
-    /// The peer that has the rest.
-    pub(super) fn giver(&self) -> Option<&InstanceId> {
-        self.giver.as_ref()
+impl PartialList {
+    /// The peer that has sent the parts so far.
+    pub(super) fn provider(&self) -> Option<&InstanceId> {
+        self.provider.as_ref()
     }
 
-    /// What a peer is told of the parts: only their giver's list is surely in the same order.
+    /// The query to send to a peer. Only the provider is asked to continue, because the entries of
+    /// other peers' lists may be in a different order.
     pub(super) fn query(&self, peer: &InstanceId) -> ListQuery {
-        if self.giver() != Some(peer) {
+        if self.provider() != Some(peer) {
             return ListQuery {
-                wants_whole: self.giver.is_none(),
+                wants_full: self.provider.is_none(),
                 ..ListQuery::default()
             };
         }
         ListQuery {
-            wants_whole: true,
-            changed: self.changed,
-            entries: as_count(self.entries.len()),
+            wants_full: true,
+            last_change: self.last_change,
+            entries: to_count(self.entries.len()),
         }
     }
 
-    /// Takes a part; returns the whole list if it is here now.
-    pub(super) fn take(
+    /// Adds a part. Returns the full list once its last part has been received.
+    pub(super) fn add(
         &mut self,
         part: ListPart,
         peer: &InstanceId,
-    ) -> Result<Option<ListUpdate>, ListPartFault> {
-        if part.total > MOST_ENTRIES {
-            return Err(ListPartFault::TooLong);
+    ) -> Result<Option<ListUpdate>, ListPartError> {
+        if part.total > MAX_ENTRIES {
+            return Err(ListPartError::TooLong);
         }
-        let goes_on = self.giver() == Some(peer) && self.changed == part.mark.last_change;
-        if !goes_on || part.from == 0 {
+        let continues =
+            self.provider() == Some(peer) && self.last_change == part.watermark.last_change;
+        if !continues || part.offset == 0 {
             self.clear();
         }
-        if part.from != as_count(self.entries.len()) {
+        if part.offset != to_count(self.entries.len()) {
             self.clear();
-            return Err(ListPartFault::DoesNotFit);
+            return Err(ListPartError::OutOfSequence);
         }
-        self.giver = Some(peer.clone());
-        self.changed = part.mark.last_change;
+        self.provider = Some(peer.clone());
+        self.last_change = part.watermark.last_change;
         self.entries.extend(part.entries);
-        if as_count(self.entries.len()) < part.total {
+        if to_count(self.entries.len()) < part.total {
             return Ok(None);
         }
         let entries = std::mem::take(&mut self.entries);
         self.clear();
         Ok(Some(ListUpdate {
-            mark: part.mark,
-            news: ListNews::Whole(entries),
+            watermark: part.watermark,
+            delta: ListDelta::Full(entries),
         }))
     }
 
-    /// Drops what is here unless its giver is heard and still knows more: nobody else is asked for the
-    /// whole list meanwhile.
-    pub(super) fn drop_without_giver(&mut self, sync_sources: &[SyncSource], known: KnownVersions) {
-        let is_giver = |it: &&SyncSource| Some(&it.instance) == self.giver();
-        let giver = sync_sources.iter().find(is_giver);
-        if giver.is_none_or(|it| it.list.last_change <= known.list) {
+    /// Discards the parts unless the provider is still heard from and still knows more than this
+    /// instance. No other peer is asked for the full list while there is a provider.
+    pub(super) fn clear_if_provider_lost(
+        &mut self,
+        sync_sources: &[SyncSource],
+        known: KnownVersions,
+    ) {
+        let is_provider = |it: &&SyncSource| Some(&it.instance) == self.provider();
+        let provider = sync_sources.iter().find(is_provider);
+        if provider.is_none_or(|it| it.list.last_change <= known.list) {
             self.clear();
         }
     }
 
-    /// Drops what is here.
     pub(super) fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -1,19 +1,19 @@
-//! The whole list of endpoints in parts.
+//! Tests of the transfer of the full endpoint list in parts.
 
 use std::net::SocketAddr;
 
-use super::list_log::{ListNews, ListWatermark};
-use super::list_parts::{ListParts, ListQuery, ListRest};
+use super::list_log::{ListDelta, ListWatermark};
+use super::list_parts::{ListQuery, PartialList, RemainingList};
 use super::peer_selection_tests::{informant, with_newer_list};
 use super::snapshot::KnownVersions;
 use crate::fleet::{ListedEndpoint, Phase};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
 
-const MARK: ListWatermark = ListWatermark {
+const WATERMARK: ListWatermark = ListWatermark {
     position: 9,
     last_change: 7,
 };
-/// Bytes of a part that holds some of the entries below.
+/// Size of a part that holds some of the entries below.
 const PART_BYTES: usize = 8_000;
 
 fn entries(count: usize) -> Vec<ListedEndpoint> {
@@ -30,104 +30,114 @@
     (0..count).map(entry).collect()
 }
 
-fn giver() -> InstanceId {
+fn provider() -> InstanceId {
     InstanceId::from("a")
 }
 
-/// What one that lacks the whole list of `listed` gets in one call, and how many calls that took.
-fn taken_from(
+/// Transfers `listed` part by part. Returns the received list and the number of calls.
+fn transfer(
     mut listed: Vec<ListedEndpoint>,
-    parts: &mut ListParts,
+    partial: &mut PartialList,
 ) -> (Vec<ListedEndpoint>, u32) {
     for calls in 1.. {
-        // Whoever has read the list has its entries in an order of its own.
+        // The order of entries on the provider may differ from call to call.
         listed.reverse();
-        let rest = ListRest::new(MARK, listed.clone(), parts.query(&giver()));
-        let part = rest.part(PART_BYTES);
-        let update = parts.take(part, &giver()).expect("it fits");
+        let remaining = RemainingList::new(WATERMARK, listed.clone(), partial.query(&provider()));
+        let part = remaining.into_part(PART_BYTES);
+        let update = partial.add(part, &provider()).expect("part is accepted");
         if let Some(update) = update {
-            assert_eq!(update.mark, MARK);
-            let ListNews::Whole(entries) = update.news else {
-                panic!("the whole list was asked for");
+            assert_eq!(update.watermark, WATERMARK);
+            let ListDelta::Full(entries) = update.delta else {
+                panic!("the full list was requested");
             };
             return (entries, calls);
         }
     }
-    unreachable!("each call brings an entry")
+    unreachable!("each call transfers at least one entry")
 }
 
-// 300 instances were killed at once before 2,999 engines. Each fetched the whole list, 180 kB, in one call
-// of at most 400 ms; dozens at a time filled the links of those that had it, and hundreds of
-// calls a second ended without a whole reply.
+// Regression: after 300 instances had been killed at once beside 2,999 engines, each fetched the
+// full list, 180 kB, in one call of at most 400 ms. Dozens of concurrent calls filled the links of
+// the instances that had the list, and hundreds of calls a second ended without a complete reply.
 #[test]
-fn a_long_list_comes_whole_in_parts_that_a_small_link_carries() {
+fn a_long_list_is_transferred_in_parts_that_fit_a_slow_link() {
     let listed = entries(2_999);
-    let (taken, calls) = taken_from(listed.clone(), &mut ListParts::default());
-    assert_eq!(taken, listed);
+    let (received, calls) = transfer(listed.clone(), &mut PartialList::default());
+    assert_eq!(received, listed);
     assert!((2..=60).contains(&calls), "{calls}");
-    let part = ListRest::new(MARK, listed, ListQuery::default()).part(PART_BYTES);
-    let bytes = postcard::to_stdvec(&part).expect("it can be written").len();
+    let part = RemainingList::new(WATERMARK, listed, ListQuery::default()).into_part(PART_BYTES);
+    let bytes = postcard::to_stdvec(&part)
+        .expect("part can be serialized")
+        .len();
     assert!(bytes <= PART_BYTES, "{bytes}");
 }
 
 #[test]
-fn a_short_list_comes_in_one_part() {
-    let (taken, calls) = taken_from(entries(99), &mut ListParts::default());
-    assert_eq!((taken.len(), calls), (99, 1));
-    let (taken, calls) = taken_from(Vec::new(), &mut ListParts::default());
-    assert_eq!((taken.len(), calls), (0, 1));
+fn a_short_list_is_transferred_in_one_part() {
+    let (received, calls) = transfer(entries(99), &mut PartialList::default());
+    assert_eq!((received.len(), calls), (99, 1));
+    let (received, calls) = transfer(Vec::new(), &mut PartialList::default());
+    assert_eq!((received.len(), calls), (0, 1));
 }
 
 #[test]
-fn a_list_that_changes_while_its_parts_come_is_begun_anew() {
-    let mut parts = ListParts::default();
-    let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
-    assert!(parts.take(first, &giver()).expect("it fits").is_none());
+fn the_transfer_restarts_when_the_list_changes() {
+    let mut partial = PartialList::default();
+    let first =
+        RemainingList::new(WATERMARK, entries(300), ListQuery::default()).into_part(PART_BYTES);
+    let update = partial.add(first, &provider()).expect("part is accepted");
+    assert!(update.is_none());
     let later = ListWatermark {
         position: 12,
         last_change: 12,
     };
-    let part = ListRest::new(later, entries(301), parts.query(&giver())).part(PART_BYTES);
-    assert_eq!(part.from, 0);
-    assert!(parts.take(part, &giver()).expect("it fits").is_none());
-    assert_eq!(parts.query(&giver()).changed, 12);
+    let part =
+        RemainingList::new(later, entries(301), partial.query(&provider())).into_part(PART_BYTES);
+    assert_eq!(part.offset, 0);
+    let update = partial.add(part, &provider()).expect("part is accepted");
+    assert!(update.is_none());
+    assert_eq!(partial.query(&provider()).last_change, 12);
 }
 
 #[test]
-fn a_part_of_another_peers_list_is_not_joined_to_what_is_here() {
-    let mut parts = ListParts::default();
-    let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
-    parts.take(first, &giver()).expect("it fits");
+fn parts_of_different_peers_are_not_combined() {
+    let mut partial = PartialList::default();
+    let first =
+        RemainingList::new(WATERMARK, entries(300), ListQuery::default()).into_part(PART_BYTES);
+    partial.add(first, &provider()).expect("part is accepted");
     let other = InstanceId::from("b");
-    assert!(!parts.query(&other).wants_whole);
-    let query = parts.query(&giver());
-    let second = ListRest::new(MARK, entries(300), query).part(PART_BYTES);
-    assert!(parts.take(second, &other).is_err());
+    assert!(!partial.query(&other).wants_full);
+    let query = partial.query(&provider());
+    let second = RemainingList::new(WATERMARK, entries(300), query).into_part(PART_BYTES);
+    assert!(partial.add(second, &other).is_err());
 }
 
-// Found by reading: a giver that had no room, and ended before it was asked again, kept all others from
-// being asked for the list for ever.
+// Regression: a provider that was busy and then terminated before it was asked again kept the
+// instance from ever requesting the list from another peer.
 #[test]
-fn the_list_is_asked_for_elsewhere_once_its_giver_is_not_heard_any_more() {
+fn another_peer_is_asked_for_the_list_after_the_provider_is_lost() {
     let both = [1, 2].map(|port| with_newer_list(informant(port, 1, true, true)));
-    let [giver, other] = &both;
-    let mut parts = ListParts::default();
-    let first = ListRest::new(MARK, entries(300), ListQuery::default()).part(PART_BYTES);
-    parts.take(first, &giver.instance).expect("it fits");
+    let [provider, other] = &both;
+    let mut partial = PartialList::default();
+    let first =
+        RemainingList::new(WATERMARK, entries(300), ListQuery::default()).into_part(PART_BYTES);
+    partial
+        .add(first, &provider.instance)
+        .expect("part is accepted");
     let known = KnownVersions { table: 1, list: 0 };
-    parts.drop_without_giver(&both, known);
-    assert!(!parts.query(&other.instance).wants_whole);
-    parts.drop_without_giver(&both[1..], known);
-    assert!(parts.query(&other.instance).wants_whole);
+    partial.clear_if_provider_lost(&both, known);
+    assert!(!partial.query(&other.instance).wants_full);
+    partial.clear_if_provider_lost(&both[1..], known);
+    assert!(partial.query(&other.instance).wants_full);
 }
 
 #[test]
-fn a_query_is_read_as_it_was_written() {
+fn query_round_trip() {
     let query = ListQuery {
-        wants_whole: true,
-        changed: 7,
+        wants_full: true,
+        last_change: 7,
         entries: 781,
     };
-    assert_eq!(ListQuery::from_query(&query.text()), query);
+    assert_eq!(ListQuery::from_query(&query.to_query_string()), query);
     assert_eq!(ListQuery::from_query("table=3"), ListQuery::default());
 }
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -299,6 +299,6 @@
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         // Only log lines tell which one it was.
         let peer = InstanceId::from("peer");
-        list_sync::take_update(log, fleet, &peer, update, asked_with, newest_at_ms, now_ms);
+        list_sync::apply_update(log, fleet, &peer, update, asked_with, newest_at_ms, now_ms);
     }
 }
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -1,48 +1,48 @@
-//! How the list of endpoints gets to an instance: read from the store, or told by a peer. What is
-//! decided on the way, without a socket or a clock.
+//! Applies reads of the store and updates from peers to the endpoint list. Contains only the
+//! decisions: no socket or clock is used here.
 
 use serde::{Deserialize, Serialize};
 
 use super::adapter::FeedRead;
-use super::list_log::{ListLog, ListNews, ListWatermark};
+use super::list_log::{ListDelta, ListLog, ListWatermark};
 use crate::fleet::{Fleet, FleetChange, InfoSource, ListingRead};
 use crate::ids::InstanceId;
 
-/// What a peer tells of the list of endpoints.
+/// A peer's update to the endpoint list.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ListUpdate {
-    /// How far the peer knows the list.
-    pub(super) mark: ListWatermark,
-    pub(super) news: ListNews,
+    /// How much of the list's history the peer knows.
+    pub(super) watermark: ListWatermark,
+    pub(super) delta: ListDelta,
 }
 
-/// What a read of the list has changed here.
+/// Effect of a read of the store on this instance.
 #[derive(Debug, Default)]
 pub(super) struct AppliedRead {
     pub(super) changes: Vec<FleetChange>,
-    /// Whether it brought anything that peers must be told.
+    /// Whether the read contained changes that peers must be notified of.
     pub(super) must_notify_peers: bool,
 }
 
-/// Takes a read of the store that was sent at `sent_ms`. `was_away` says that the list could not be read
-/// or kept shortly before.
+/// Applies a read of the store that was requested at `sent_ms`. `after_outage` says that the store
+/// failed to return or keep the list shortly before.
 pub(super) fn apply_read(
     log: &mut ListLog,
     fleet: &mut Fleet,
     read: FeedRead<ListingRead>,
-    was_away: bool,
+    after_outage: bool,
     sent_ms: u64,
     now_ms: u64,
 ) -> AppliedRead {
     let known = log.watermark();
     if read.position < known.position {
-        // A peer has told more since the call was sent.
+        // A peer has sent newer changes since the read was requested.
         fleet.confirm(sent_ms);
         return AppliedRead::default();
     }
-    log.note(read.position, &read.content, was_away);
+    log.record(read.position, &read.content, after_outage);
     let must_notify_peers = log.watermark().last_change != known.last_change;
-    let changes = fleet.apply_read(read.content, was_away, now_ms);
+    let changes = fleet.apply_read(read.content, after_outage, now_ms);
     fleet.confirm(sent_ms);
     AppliedRead {
         changes,
@@ -50,66 +50,72 @@
     }
 }
 
-/// What one that knows the list up to `position` is told, where the list is known here.
+/// Returns the update for an instance at `position`, or `None` if the list is not known here.
 pub(super) fn update_since(log: &ListLog, fleet: &Fleet, position: u64) -> Option<ListUpdate> {
     fleet.is_loaded().then(|| ListUpdate {
-        mark: log.watermark(),
-        news: log.news_since(position, || fleet.listed_endpoints()),
+        watermark: log.watermark(),
+        delta: log.delta_since(position, || fleet.listed_endpoints()),
     })
 }
 
-/// Takes what a peer has told one that asked with `asked_with` as its position in the list. The peer's
-/// list was surely the newest at `newest_at_ms`.
-pub(super) fn take_update(
+/// Applies a peer's update. `requested_position` is the list position that this instance sent with
+/// its request; `newest_at_ms` is a time at which the peer's list is known to have been up to date.
+pub(super) fn apply_update(
     log: &mut ListLog,
     fleet: &mut Fleet,
     peer: &InstanceId,
     update: ListUpdate,
-    asked_with: u64,
+    requested_position: u64,
     newest_at_ms: u64,
     now_ms: u64,
 ) -> Vec<FleetChange> {
-    let ListUpdate { mark, news } = update;
+    let ListUpdate { watermark, delta } = update;
     let path = InfoSource::PeerList(peer.clone());
-    let own = log.watermark().position;
+    let own_position = log.watermark().position;
     let mut changes = Vec::new();
-    match news {
-        ListNews::Nothing => {}
-        // They fit only behind what was known when they were asked for.
-        ListNews::Changes(_) if own != asked_with => return changes,
-        ListNews::Changes(reads) => {
-            for it in reads {
-                log.note(it.position, &it.read, it.was_away);
-                changes.extend(fleet.apply_read_from(&path, it.read, it.was_away, now_ms));
+    match delta {
+        ListDelta::Unchanged => {}
+        // Changes apply only to the list at the position they were requested for.
+        ListDelta::Changes(_) if own_position != requested_position => return changes,
+        ListDelta::Changes(reads) => {
+            for logged in reads {
+                log.record(logged.position, &logged.read, logged.after_outage);
+                changes.extend(fleet.apply_read_from(
+                    &path,
+                    logged.read,
+                    logged.after_outage,
+                    now_ms,
+                ));
             }
         }
-        ListNews::Whole(_) if own >= mark.position => return changes,
-        ListNews::Whole(entries) => {
-            log.restart(mark);
+        ListDelta::Full(_) if own_position >= watermark.position => return changes,
+        ListDelta::Full(entries) => {
+            log.reset(watermark);
             changes = fleet.apply_peer_list(peer, entries, now_ms);
         }
     }
-    log.confirm(mark);
+    log.advance_to(watermark);
     fleet.confirm_from(path, newest_at_ms);
     changes
 }
 
-/// Takes a peer's word on how far it knows the list: `newest_at_ms` is when its list was surely the
-/// newest, where that can be told on the own clock. Returns whether this instance knows as much.
+/// Processes the watermark from a peer's heartbeat. `newest_at_ms` is a time, on the clock of this
+/// instance, at which the peer's list is known to have been up to date; `None` if that time cannot
+/// be determined. Returns whether this instance knows all changes that the peer knows.
 pub(super) fn observe_peer_watermark(
     log: &mut ListLog,
     fleet: &mut Fleet,
     peer: &InstanceId,
-    mark: ListWatermark,
+    watermark: ListWatermark,
     newest_at_ms: Option<u64>,
 ) -> bool {
-    let knows_list = log.watermark().position >= mark.last_change;
+    let knows_all_changes = log.watermark().position >= watermark.last_change;
     if let Some(newest_at_ms) = newest_at_ms
-        && knows_list
-        && mark.position > 0
+        && knows_all_changes
+        && watermark.position > 0
     {
         fleet.confirm_from(InfoSource::Heartbeat(peer.clone()), newest_at_ms);
-        log.confirm(mark);
+        log.advance_to(watermark);
     }
-    knows_list
+    knows_all_changes
 }
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -1,9 +1,11 @@
-//! What an instance takes from a peer that knows more: the operator's document and the list of
-//! endpoints, each with its age. Most instances of a zone learn of changes only so.
+//! Synchronization with peers: an instance that is behind fetches the operator's document and the
+//! endpoint list, each with its age, from a peer. Most instances of a zone receive changes only in
+//! this way.
 //!
-//! Heartbeats say how far each instance knows both. One that is behind asks over HTTP at the address of
-//! the heartbeats, naming what it has: a whole document does not fit into a datagram, and versions that
-//! are overtaken meanwhile are never sent.
+//! Heartbeats carry the versions that each instance knows. An instance that is behind sends an HTTP
+//! request to the address of the heartbeats and names the versions that it has. HTTP is used
+//! because a complete document does not fit into a datagram, and because versions that are
+//! superseded in the meantime are never sent.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,10 +18,12 @@
 use tokio::time::sleep;
 
 use super::adapter::{Adapter, FeedFailure};
-use super::document_parts::{DocumentNews, DocumentPart, DocumentParts, DocumentQuery, PartFault};
+use super::document_parts::{
+    DocumentPart, DocumentPartError, DocumentQuery, DocumentReply, PartialDocument,
+};
 use super::feeds::apply_table;
-use super::list_log::ListNews;
-use super::list_parts::{ListOffer, ListPartFault, ListParts, ListQuery, ListRest};
+use super::list_log::ListDelta;
+use super::list_parts::{ListPartError, ListQuery, ListReply, PartialList, RemainingList};
 use super::list_sync::{self, ListUpdate};
 use super::node::Node;
 use super::peer::SyncSource;
@@ -31,50 +35,48 @@
 use crate::ids::InstanceId;
 use crate::route_table::SourcedTable;
 
-/// Pause between two looks at whether a peer knows more.
-pub(super) const LOOK_MS: u64 = 250;
-/// Longest wait for a peer's snapshot: a connection, and one part of the document, which takes up
-/// links of 20 Mbit/s for 25 ms. Whole documents would be thrown away half read by all that ask one
-/// peer at once.
+/// Interval between two checks whether a peer has newer versions.
+pub(super) const POLL_INTERVAL_MS: u64 = 250;
+/// Timeout of a snapshot request. It covers the connection and one part of the document, which
+/// occupies a 20 Mbit/s link for 25 ms. If documents were sent in one piece, concurrent requests to
+/// the same peer would all time out with the document half received.
 pub(super) const FETCH_TIMEOUT_MS: u64 = 400;
-/// Longest snapshot that is read: the longest document and thousands of endpoints.
-const SNAPSHOT_LIMIT_BYTES: usize = 8 << 20;
-/// Path of the snapshot.
+/// Longest snapshot that is accepted: the longest document and thousands of endpoints.
+const MAX_SNAPSHOT_BYTES: usize = 8 << 20;
 const SNAPSHOT_PATH: &str = "/snapshot";
 
-/// Something and how long before the answer it was surely the newest.
+/// Content with its age: the time since it was last known to be the newest, as of the response.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Aged<T> {
     content: T,
     age_ms: u64,
 }
 
-/// What a peer hands over.
+/// Response to a snapshot request.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Snapshot {
-    /// The operator's document, or a part of it.
-    document: DocumentNews,
-    /// The list of endpoints, if it was read.
-    endpoints: Option<Aged<ListOffer>>,
+    document: DocumentReply,
+    /// `None` if the peer does not know the endpoint list.
+    endpoints: Option<Aged<ListReply>>,
 }
 
-/// How far one that asks knows both.
+/// Versions of the document and the endpoint list that an instance knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct KnownVersions {
-    /// Version of its table of routes; 0 if it has none.
+    /// Version of the route table, which is made from the document; 0 if there is none.
     pub(super) table: u64,
-    /// Position in the list of endpoints; 0 if it has none.
+    /// Position up to which the endpoint list is known; 0 if it is not known.
     pub(super) list: u64,
 }
 
 impl KnownVersions {
     fn path(self, document: DocumentQuery, parts: ListQuery) -> String {
         let Self { table, list } = self;
-        let (document, parts) = (document.text(), parts.text());
+        let (document, parts) = (document.to_query_string(), parts.to_query_string());
         format!("{SNAPSHOT_PATH}?table={table}&list={list}&{document}&{parts}")
     }
 
-    /// Reads the query of a question. What is missing or no number counts as not known.
+    /// Parses the query of a request. Missing and malformed values count as 0.
     pub(super) fn from_query(query: &str) -> Self {
         let mut known = Self::default();
         for (name, value) in query_pairs(query) {
@@ -89,36 +91,37 @@
     }
 }
 
-/// Why a peer gave nothing that can be used.
+/// Why a snapshot request failed.
 #[derive(Debug, Error)]
-enum SnapshotFailure {
+enum SnapshotError {
     #[error("{0}")]
     Call(#[from] HttpFailure),
-    #[error("the peer answered with status {0}")]
+    #[error("peer responded with status {0}")]
     Status(u16),
-    #[error("the snapshot is malformed: {0}")]
+    #[error("malformed snapshot: {0}")]
     Malformed(#[from] postcard::Error),
     #[error("{0}")]
-    Part(#[from] PartFault),
+    DocumentPart(#[from] DocumentPartError),
     #[error("{0}")]
-    ListPart(#[from] ListPartFault),
-    #[error("the document cannot be used: {0}")]
+    ListPart(#[from] ListPartError),
+    #[error("unusable document: {0}")]
     Document(#[from] FeedFailure),
 }
 
-/// Answers a peer's question. What has changed in the list of endpoints is told also where there is no
-/// room for the document: one that leaves must be known everywhere within two seconds.
+/// Responds to a peer's snapshot request. Changes to the endpoint list are sent even if the link
+/// has no capacity for the document, because all instances must learn within two seconds that an
+/// endpoint is leaving.
 pub(super) fn respond<A>(node: &Node<A>, query: &str, peer: Option<SocketAddr>) -> Response<BoxBody>
 where
     A: Adapter,
 {
     let now_ms = boot_ms();
     let known = KnownVersions::from_query(query);
-    let document = document_for(node, known, DocumentQuery::from_query(query), peer, now_ms);
-    let offer = list_for(node, known, ListQuery::from_query(query), now_ms);
+    let document = document_reply(node, known, DocumentQuery::from_query(query), peer, now_ms);
+    let list = list_reply(node, known, ListQuery::from_query(query), now_ms);
     let snapshot = Snapshot {
         document,
-        endpoints: offer.map(|content| Aged {
+        endpoints: list.map(|content| Aged {
             content,
             age_ms: node.fleet.borrow().age_ms(now_ms),
         }),
@@ -127,111 +130,115 @@
     match postcard::to_stdvec(&snapshot) {
         Ok(bytes) => Response::with_body(StatusCode::OK, BoxBody::new(bytes)),
         Err(error) => {
-            log::error!(error:% = error; "snapshot cannot be written");
+            log::error!(error:% = error; "cannot serialize snapshot");
             Response::with_body(StatusCode::INTERNAL_SERVER_ERROR, BoxBody::new(()))
         }
     }
 }
 
-/// What a peer that knows so far is told of the list of endpoints, where it is known here.
-fn list_for<A>(
+/// The part of a response that concerns the endpoint list, or `None` if there is nothing to send.
+fn list_reply<A>(
     node: &Node<A>,
     known: KnownVersions,
     query: ListQuery,
     now_ms: u64,
-) -> Option<ListOffer>
+) -> Option<ListReply>
 where
     A: Adapter,
 {
     let fleet = node.fleet.borrow();
     let log = node.list_log.borrow();
-    if log.needs_whole(known.list) && !query.wants_whole {
+    if log.needs_full_list(known.list) && !query.wants_full {
         return None;
     }
-    let ListUpdate { mark, news } = list_sync::update_since(&log, &fleet, known.list)?;
-    let entries = match news {
-        ListNews::Whole(entries) => entries,
-        news => return Some(ListOffer::Update(ListUpdate { mark, news })),
+    let ListUpdate { watermark, delta } = list_sync::update_since(&log, &fleet, known.list)?;
+    let entries = match delta {
+        ListDelta::Full(entries) => entries,
+        delta => return Some(ListReply::Update(ListUpdate { watermark, delta })),
     };
-    let rest = ListRest::new(mark, entries, query);
-    Some(match node.uplink.borrow_mut().admit(rest.bytes(), now_ms) {
+    let remaining = RemainingList::new(watermark, entries, query);
+    let admission = node
+        .uplink
+        .borrow_mut()
+        .admit(remaining.estimated_bytes(), now_ms);
+    Some(match admission {
         Admission::Granted { bytes } => {
             node.counters
                 .add("relay.snapshots.list_bytes", bytes as u64);
-            ListOffer::Part(rest.part(bytes))
+            ListReply::Part(remaining.into_part(bytes))
         }
         Admission::Busy { wait_ms } => {
             node.counters.count("relay.snapshots.list_busy");
-            ListOffer::Busy { wait_ms }
+            ListReply::Busy { wait_ms }
         }
     })
 }
 
-/// What a peer that knows so far is given of the document.
-fn document_for<A>(
+/// The part of a response that concerns the document.
+fn document_reply<A>(
     node: &Node<A>,
     known: KnownVersions,
     query: DocumentQuery,
     peer: Option<SocketAddr>,
     now_ms: u64,
-) -> DocumentNews
+) -> DocumentReply
 where
     A: Adapter,
 {
-    let held = node.table.borrow();
-    let newer = held.table().filter(|it| it.version > known.table);
-    let (Some(table), Some(source)) = (newer.filter(|_| query.is_wanted), held.source()) else {
-        return DocumentNews::Nothing;
+    let current = node.table.borrow();
+    let newer = current.table().filter(|it| it.version > known.table);
+    let (Some(table), Some(source)) = (newer.filter(|_| query.is_wanted), current.source()) else {
+        return DocumentReply::Nothing;
     };
-    let begin_bytes = query.begin_bytes(table.version, source.len());
-    let rest = &source.as_bytes()[begin_bytes..];
+    let offset_bytes = query.resume_offset(table.version, source.len());
+    let remaining = &source.as_bytes()[offset_bytes..];
     let peer = peer.map(|it| it.to_string());
-    match node.uplink.borrow_mut().admit(rest.len(), now_ms) {
+    match node.uplink.borrow_mut().admit(remaining.len(), now_ms) {
         Admission::Granted { bytes } => {
             let counter = "relay.snapshots.document_bytes";
             node.counters.add(counter, bytes as u64);
-            let is_last = bytes == rest.len();
-            log::info!(peer, table = table.version, from_bytes = begin_bytes, bytes, is_last; "part of the document is handed over");
-            DocumentNews::Part(DocumentPart {
+            let is_last = bytes == remaining.len();
+            log::info!(peer, table = table.version, from_bytes = offset_bytes, bytes, is_last; "sending part of the document to peer");
+            DocumentReply::Part(DocumentPart {
                 version: table.version,
                 total_bytes: source.len() as u64,
-                from_bytes: begin_bytes as u64,
-                content: rest[..bytes].to_vec(),
-                age_ms: held.age_ms(now_ms),
+                offset_bytes: offset_bytes as u64,
+                content: remaining[..bytes].to_vec(),
+                age_ms: current.age_ms(now_ms),
             })
         }
         Admission::Busy { wait_ms } => {
             node.counters.count("relay.snapshots.busy");
-            log::debug!(peer, table = table.version, wait_ms; "no room for a part of the document");
-            DocumentNews::Busy { wait_ms }
+            log::debug!(peer, table = table.version, wait_ms; "link busy, part of the document not sent to peer");
+            DocumentReply::Busy { wait_ms }
         }
     }
 }
 
-/// Asks peers whenever they know more than the store tells here, for as long as the process runs.
+/// Requests snapshots from peers that have newer versions, for as long as the process runs.
 pub(super) async fn sync_from_peers<A>(node: Rc<Node<A>>)
 where
     A: Adapter,
 {
-    let mut asking = PeerSelector::default();
-    let mut parts = Parts::default();
+    let mut selector = PeerSelector::default();
+    let mut received = ReceivedParts::default();
     loop {
-        let pause_ms = match look(&node, &mut asking, &mut parts) {
-            FetchDecision::Fetch(question) => {
-                match ask(&node, &mut asking, &mut parts, &question).await {
+        let pause_ms = match next_action(&node, &mut selector, &mut received) {
+            FetchDecision::Fetch(request) => {
+                match request_snapshot(&node, &mut selector, &mut received, &request).await {
                     Ok(true) => continue,
-                    Ok(false) => LOOK_MS,
-                    Err(failure) => {
-                        let peer = &question.peer;
-                        log::warn!(peer:% = peer.address, failure:% = failure; "snapshot was not taken");
-                        asking.mark_failed(&peer.instance, boot_ms());
-                        parts.list.clear();
+                    Ok(false) => POLL_INTERVAL_MS,
+                    Err(error) => {
+                        let peer = &request.peer;
+                        log::warn!(peer:% = peer.address, failure:% = error; "snapshot request to peer failed");
+                        selector.mark_failed(&peer.instance, boot_ms());
+                        received.list.clear();
                         continue;
                     }
                 }
             }
-            FetchDecision::Wait { wait_ms } => wait_ms.min(LOOK_MS),
-            FetchDecision::Idle => LOOK_MS,
+            FetchDecision::Wait { wait_ms } => wait_ms.min(POLL_INTERVAL_MS),
+            FetchDecision::Idle => POLL_INTERVAL_MS,
         };
         tokio::select! {
             () = sleep(Duration::from_millis(pause_ms)) => {}
@@ -240,37 +247,41 @@
     }
 }
 
-/// What has been taken in part.
+/// Parts of a document and a list whose transfer has not finished.
 #[derive(Debug, Default)]
-struct Parts {
-    document: DocumentParts,
-    list: ListParts,
+struct ReceivedParts {
+    document: PartialDocument,
+    list: PartialList,
 }
 
-fn look<A>(node: &Node<A>, asking: &mut PeerSelector, parts: &mut Parts) -> FetchDecision
+fn next_action<A>(
+    node: &Node<A>,
+    selector: &mut PeerSelector,
+    received: &mut ReceivedParts,
+) -> FetchDecision
 where
     A: Adapter,
 {
     let now_ms = boot_ms();
     let sync_sources = node.peers.borrow().sync_sources(now_ms);
-    let known = known_here(node);
-    count_wasted(node, parts.document.drop_known(known.table));
-    parts.list.drop_without_giver(&sync_sources, known);
-    let knowledge = SyncState {
-        behind_since_ms: asking.update_lag(&sync_sources, known, now_ms),
+    let known = own_versions(node);
+    count_discarded(node, received.document.discard_known(known.table));
+    received.list.clear_if_provider_lost(&sync_sources, known);
+    let state = SyncState {
+        behind_since_ms: selector.update_lag(&sync_sources, known, now_ms),
         reads_store: node.reads_store(),
         is_fed: node.receives_store_updates(),
         list_age_ms: node.fleet.borrow().age_ms(now_ms),
     };
     let draw = node.draw();
-    let begun = PartialFetches {
-        document: parts.document.version(),
-        list_provider: parts.list.giver(),
+    let partial = PartialFetches {
+        document: received.document.version(),
+        list_provider: received.list.provider(),
     };
-    asking.next(&sync_sources, knowledge, known, begun, draw, now_ms)
+    selector.next(&sync_sources, state, known, partial, draw, now_ms)
 }
 
-fn count_wasted<A>(node: &Node<A>, bytes: usize)
+fn count_discarded<A>(node: &Node<A>, bytes: usize)
 where
     A: Adapter,
 {
@@ -278,7 +289,7 @@
         .add("relay.snapshots.wasted_bytes", bytes as u64);
 }
 
-fn known_here<A>(node: &Node<A>) -> KnownVersions
+fn own_versions<A>(node: &Node<A>) -> KnownVersions
 where
     A: Adapter,
 {
@@ -288,67 +299,69 @@
     }
 }
 
-/// Asks a peer. Returns whether that has brought anything, also the word to come again.
-async fn ask<A>(
+/// Requests a snapshot from a peer. Returns whether the response contained anything, be it only the
+/// time to wait before the next request.
+async fn request_snapshot<A>(
     node: &Rc<Node<A>>,
-    asking: &mut PeerSelector,
-    parts: &mut Parts,
-    question: &FetchRequest,
-) -> Result<bool, SnapshotFailure>
+    selector: &mut PeerSelector,
+    received: &mut ReceivedParts,
+    request: &FetchRequest,
+) -> Result<bool, SnapshotError>
 where
     A: Adapter,
 {
     let FetchRequest {
         peer,
         wants_document,
-    } = question;
+    } = request;
     let sent_ms = boot_ms();
-    let known = known_here(node);
-    let document = parts.document.query(*wants_document);
-    let path = known.path(document, parts.list.query(&peer.instance));
+    let known = own_versions(node);
+    let document = received.document.query(*wants_document);
+    let path = known.path(document, received.list.query(&peer.instance));
     let snapshot = fetch(peer, &path).await?;
     node.counters.count("relay.snapshots.taken");
-    let mut has_brought = false;
+    let mut has_content = false;
     if let Some(Aged { content, age_ms }) = snapshot.endpoints {
         let update = match content {
-            ListOffer::Update(update) => Some(update),
-            ListOffer::Part(part) => {
-                has_brought = true;
-                parts.list.take(part, &peer.instance)?
+            ListReply::Update(update) => Some(update),
+            ListReply::Part(part) => {
+                has_content = true;
+                received.list.add(part, &peer.instance)?
             }
-            ListOffer::Busy { wait_ms } => {
-                has_brought = true;
-                asking.mark_list_busy(&peer.instance, wait_ms, boot_ms());
+            ListReply::Busy { wait_ms } => {
+                has_content = true;
+                selector.mark_list_busy(&peer.instance, wait_ms, boot_ms());
                 None
             }
         };
         if let Some(update) = update {
             let newest_at_ms = sent_ms.saturating_sub(age_ms);
-            take_endpoints(node, &peer.instance, update, known, newest_at_ms);
+            apply_list_update(node, &peer.instance, update, known, newest_at_ms);
         }
     }
     match snapshot.document {
-        DocumentNews::Nothing => Ok(has_brought || known_here(node) != known),
-        DocumentNews::Busy { wait_ms } => {
-            asking.mark_document_busy(&peer.instance, wait_ms, boot_ms());
+        DocumentReply::Nothing => Ok(has_content || own_versions(node) != known),
+        DocumentReply::Busy { wait_ms } => {
+            selector.mark_document_busy(&peer.instance, wait_ms, boot_ms());
             Ok(true)
         }
-        DocumentNews::Part(part) => {
-            take_part(node, &mut parts.document, part, peer, sent_ms)?;
+        DocumentReply::Part(part) => {
+            add_document_part(node, &mut received.document, part, peer, sent_ms)?;
             Ok(true)
         }
     }
 }
 
-async fn fetch(peer: &SyncSource, path: &str) -> Result<Snapshot, SnapshotFailure> {
-    // A connection of its own: what was open before may be what does not work.
+async fn fetch(peer: &SyncSource, path: &str) -> Result<Snapshot, SnapshotError> {
+    // Opens a new connection, because one that was opened earlier may be the one that no longer
+    // works.
     let http = HttpPeer::new(&format!("http://{}", peer.address));
     let call = HttpCall::get(path);
     let reply = http
-        .call(call, FETCH_TIMEOUT_MS, SNAPSHOT_LIMIT_BYTES)
+        .call(call, FETCH_TIMEOUT_MS, MAX_SNAPSHOT_BYTES)
         .await?;
     if reply.status != StatusCode::OK.as_u16() {
-        return Err(SnapshotFailure::Status(reply.status));
+        return Err(SnapshotError::Status(reply.status));
     }
     Ok(decode_snapshot(&reply.body)?)
 }
@@ -357,59 +370,59 @@
     postcard::from_bytes(bytes)
 }
 
-/// Takes a part that was asked for at `sent_ms`, and the document if it is the last. Its age is of a
-/// moment after that, so that what is counted from `sent_ms` is on the safe side however long question
-/// and answer took.
-fn take_part<A>(
+/// Adds a part that was requested at `sent_ms`, and applies the document if this was the last part.
+/// The part's age was measured after `sent_ms`, so subtracting it from `sent_ms` gives a safe bound
+/// however long the request and the response took.
+fn add_document_part<A>(
     node: &Node<A>,
-    parts: &mut DocumentParts,
+    partial: &mut PartialDocument,
     part: DocumentPart,
     peer: &SyncSource,
     sent_ms: u64,
-) -> Result<(), SnapshotFailure>
+) -> Result<(), SnapshotError>
 where
     A: Adapter,
 {
     let total_bytes = part.total_bytes;
-    let (whole, dropped_bytes) = parts.take(part, sent_ms)?;
-    count_wasted(node, dropped_bytes);
-    if let Some(whole) = whole {
-        let table = node.adapter.parse_table(&whole.content)?;
+    let (complete, discarded_bytes) = partial.add(part, sent_ms)?;
+    count_discarded(node, discarded_bytes);
+    if let Some(complete) = complete {
+        let table = node.adapter.parse_table(&complete.content)?;
         log::info!(
             peer:% = peer.address,
             table = table.version,
             bytes = total_bytes,
             last_part_ms = boot_ms().saturating_sub(sent_ms);
-            "document is taken from peers"
+            "received document from peers"
         );
-        let source = whole.content;
+        let source = complete.content;
         let sourced = SourcedTable { table, source };
-        if apply_table(node, Some(sourced), whole.newest_at_ms) {
+        if apply_table(node, Some(sourced), complete.newest_at_ms) {
             node.request_heartbeat();
         }
     }
     Ok(())
 }
 
-fn take_endpoints<A>(
+fn apply_list_update<A>(
     node: &Node<A>,
     peer: &InstanceId,
     update: ListUpdate,
-    asked_with: KnownVersions,
+    requested: KnownVersions,
     newest_at_ms: u64,
 ) where
     A: Adapter,
 {
-    let changes = list_sync::take_update(
+    let changes = list_sync::apply_update(
         &mut node.list_log.borrow_mut(),
         &mut node.fleet.borrow_mut(),
         peer,
         update,
-        asked_with.list,
+        requested.list,
         newest_at_ms,
         boot_ms(),
     );
     node.update_informed();
-    // Peers are not told: they know it better.
+    // Peers are not notified: this update came from a peer.
     node.apply_changes(&changes);
 }
