--- a/src/relay_server/document_distribution_tests/links.rs
+++ b/src/relay_server/document_distribution_tests/links.rs
@@ -1,48 +1,48 @@
-//! Links as queues of bytes. Those that are handed something at the same time share their sender's link
-//! slice by slice, as connections do.
+//! Links modelled as queues of bytes. Concurrent transfers from the same sender share its link
+//! chunk by chunk, as TCP connections do.
 
 use std::collections::VecDeque;
 
 use indexmap::IndexMap;
 
-const SLICE_BYTES: usize = 16 << 10;
+const CHUNK_BYTES: usize = 16 << 10;
 
-/// One call's bytes.
+/// The response to one call.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Transfer {
     pub(super) from: usize,
     pub(super) to: usize,
     pub(super) version: u64,
-    /// Length of what is handed over by this call.
     pub(super) bytes: usize,
     unsent_bytes: usize,
 }
 
 struct Link {
     bytes_per_ms: usize,
-    /// Until when what was sent to this instance takes up its link.
-    taken_until_us: u64,
+    /// Until when the link is busy receiving.
+    busy_until_us: u64,
+    /// Calls with unsent chunks.
     ready: VecDeque<u64>,
     is_sending: bool,
 }
 
-/// What happens on links, and after how long.
+/// What happens on links. The functions below return it with the delay after which it happens.
 pub(super) enum LinkEvent {
-    /// A slice of a call has left its sender.
-    SliceSent {
+    /// A chunk has left its sender.
+    ChunkSent {
         call: u64,
         from: usize,
         bytes: usize,
     },
-    /// A slice of a call has come.
-    SliceCame { call: u64 },
+    /// A chunk has arrived.
+    ChunkReceived { call: u64 },
 }
 
-/// All links, and the calls that go over them.
+/// All links and the transfers over them.
 pub(super) struct Links {
     links: Vec<Link>,
     transfers: IndexMap<u64, Transfer>,
-    pub(super) most_queued_ms: u64,
+    pub(super) max_queued_ms: u64,
     pub(super) wasted_bytes: usize,
 }
 
@@ -50,24 +50,24 @@
     pub(super) fn new(speeds_mbps: &[u32]) -> Self {
         let link = |mbps: &u32| Link {
             bytes_per_ms: *mbps as usize * 125,
-            taken_until_us: 0,
+            busy_until_us: 0,
             ready: VecDeque::new(),
             is_sending: false,
         };
         Self {
             links: speeds_mbps.iter().map(link).collect(),
             transfers: IndexMap::new(),
-            most_queued_ms: 0,
+            max_queued_ms: 0,
             wasted_bytes: 0,
         }
     }
 
-    /// A link carries only a part of what is said of it.
-    pub(super) fn slow_down(&mut self, index: usize, times: usize) {
-        self.links[index].bytes_per_ms /= times;
+    /// Divides the actual speed of a link. Its announced speed stays the same.
+    pub(super) fn slow_down(&mut self, index: usize, factor: usize) {
+        self.links[index].bytes_per_ms /= factor;
     }
 
-    pub(super) fn begin(
+    pub(super) fn start_transfer(
         &mut self,
         call: u64,
         (from, to): (usize, usize),
@@ -82,15 +82,15 @@
         };
         self.transfers.insert(call, transfer);
         self.links[from].ready.push_back(call);
-        let of_it = self.transfers.values().filter(|it| it.from == from);
-        let queued_bytes: usize = of_it.map(|it| it.unsent_bytes).sum();
+        let from_same_sender = self.transfers.values().filter(|it| it.from == from);
+        let queued_bytes: usize = from_same_sender.map(|it| it.unsent_bytes).sum();
         let queued_ms = (queued_bytes / self.links[from].bytes_per_ms) as u64;
-        self.most_queued_ms = self.most_queued_ms.max(queued_ms);
-        self.send(from)
+        self.max_queued_ms = self.max_queued_ms.max(queued_ms);
+        self.send_next_chunk(from)
     }
 
-    /// The sender's next slice, unless one is on its way out.
-    fn send(&mut self, from: usize) -> Option<(u64, LinkEvent)> {
+    /// Sends the sender's next chunk, unless it is already sending one.
+    fn send_next_chunk(&mut self, from: usize) -> Option<(u64, LinkEvent)> {
         let link = &mut self.links[from];
         if link.is_sending {
             return None;
@@ -100,36 +100,39 @@
                 continue;
             };
             link.is_sending = true;
-            let bytes = transfer.unsent_bytes.min(SLICE_BYTES);
+            let bytes = transfer.unsent_bytes.min(CHUNK_BYTES);
             let after_us = (bytes * 1_000 / link.bytes_per_ms) as u64;
-            return Some((after_us, LinkEvent::SliceSent { call, from, bytes }));
+            return Some((after_us, LinkEvent::ChunkSent { call, from, bytes }));
         }
         None
     }
 
-    /// What follows after a slice has left: its arrival, and the sender's next.
-    pub(super) fn slice_sent(
+    /// Returns the chunk's arrival and the end of sending the next one.
+    pub(super) fn on_chunk_sent(
         &mut self,
         (call, from, bytes): (u64, usize, usize),
         now_us: u64,
     ) -> Vec<(u64, LinkEvent)> {
-        let mut follows = Vec::new();
+        let mut events = Vec::new();
         self.links[from].is_sending = false;
         if let Some(transfer) = self.transfers.get_mut(&call) {
             transfer.unsent_bytes -= bytes;
             let to = &mut self.links[transfer.to];
-            let takes_us = (bytes * 1_000 / to.bytes_per_ms) as u64;
-            // It begins to come when it begins to leave.
-            to.taken_until_us = now_us.max(to.taken_until_us + takes_us);
-            let after_us = to.taken_until_us - now_us;
-            follows.push((after_us, LinkEvent::SliceCame { call }));
+            let receive_us = (bytes * 1_000 / to.bytes_per_ms) as u64;
+            // The receiver gets the first bytes as soon as the sender starts sending.
+            to.busy_until_us = now_us.max(to.busy_until_us + receive_us);
+            let after_us = to.busy_until_us - now_us;
+            events.push((after_us, LinkEvent::ChunkReceived { call }));
         }
-        follows.extend(self.send(from));
-        follows
+        events.extend(self.send_next_chunk(from));
+        events
     }
 
-    /// The call's next slice, or the whole call if it has come.
-    pub(super) fn slice_came(&mut self, call: u64) -> (Option<Transfer>, Option<(u64, LinkEvent)>) {
+    /// Returns the transfer if it is complete, or else the end of sending the next chunk.
+    pub(super) fn on_chunk_received(
+        &mut self,
+        call: u64,
+    ) -> (Option<Transfer>, Option<(u64, LinkEvent)>) {
         let Some(transfer) = self.transfers.get(&call).copied() else {
             return (None, None);
         };
@@ -138,18 +141,18 @@
             return (Some(transfer), None);
         }
         self.links[transfer.from].ready.push_back(call);
-        (None, self.send(transfer.from))
+        (None, self.send_next_chunk(transfer.from))
     }
 
-    /// Ends a call that has not come whole.
-    pub(super) fn give_up(&mut self, call: u64) {
+    /// Aborts an incomplete transfer.
+    pub(super) fn abort(&mut self, call: u64) {
         if let Some(transfer) = self.transfers.swap_remove(&call) {
             self.wasted_bytes += transfer.bytes - transfer.unsent_bytes;
         }
     }
 
-    /// Ends all calls that an instance answers.
-    pub(super) fn cut(&mut self, from: usize) {
+    /// Drops all transfers from a sender.
+    pub(super) fn drop_sender(&mut self, from: usize) {
         self.transfers.retain(|_, it| it.from != from);
     }
 }
