--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its own parts as they are in service, without sockets and clock.
+//! A simulated instance. It uses the same components as a real one, but no sockets and no clock.
 
 use std::net::SocketAddr;
 
@@ -25,16 +25,23 @@
 use crate::quarantine::Quarantine;
 
 /// An endpoint that stays in service for the whole run.
-const STAYS: &str = "e29";
+const PERMANENT_ENDPOINT: &str = "e29";
 
-/// Whether the process runs.
+/// State of an instance's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Process {
-    Runs { since_ms: u64 },
+    Running { since_ms: u64 },
     Frozen { until_ms: u64 },
     Killed,
 }
 
+impl Process {
+    /// Whether the process has been running without a fault for at least `settle_ms`.
+    pub(super) fn is_settled(self, settle_ms: u64, now_ms: u64) -> bool {
+        matches!(self, Self::Running { since_ms } if now_ms >= since_ms + settle_ms)
+    }
+}
+
 pub(super) struct Instance {
     pub(super) record: InstanceRecord,
     pub(super) book: PeerBook,
@@ -42,18 +49,20 @@
     pub(super) fleet: Fleet,
     pub(super) store: StoreHealth,
     pub(super) access: Access,
-    pub(super) reads: bool,
+    pub(super) reads_store: bool,
     pub(super) process: Process,
-    /// Grows with each process: what is under way for an earlier one is lost.
+    /// Incremented when the process is killed. Pending events of earlier generations are dropped.
     pub(super) generation: u32,
-    /// Where the watch of the list goes on.
+    /// Position from which the list is watched; `None` until it has been read.
     pub(super) position: Option<u64>,
-    pub(super) is_asking: bool,
+    /// Whether a request to a peer is in progress.
+    pub(super) is_fetching: bool,
+    /// Whether a heartbeat of a peer that knows more arrived since the last poll.
     pub(super) is_notified: bool,
-    pub(super) asking: PeerSelector,
+    pub(super) selector: PeerSelector,
     pub(super) quarantine: Quarantine,
-    /// Until when no heartbeat reaches it or leaves it.
-    pub(super) cut_until_ms: u64,
+    /// Until when the instance neither sends nor receives heartbeats.
+    pub(super) disconnected_until_ms: u64,
 }
 
 fn settings(record: &InstanceRecord) -> RelaySettings {
@@ -85,19 +94,19 @@
             fleet: Fleet::default(),
             store: StoreHealth::default(),
             access: Access::Answers,
-            reads: false,
+            reads_store: false,
             process: Process::Killed,
             generation: 0,
             position: None,
-            is_asking: false,
+            is_fetching: false,
             is_notified: false,
-            asking: PeerSelector::default(),
+            selector: PeerSelector::default(),
             quarantine: Quarantine::default(),
-            cut_until_ms: 0,
+            disconnected_until_ms: 0,
         }
     }
 
-    /// A new process begins, which has read the records of all.
+    /// Starts a new process that has read the records of all instances.
     pub(super) fn start(&mut self, records: &[InstanceRecord], now_ms: u64, rng: &mut SmallRng) {
         self.record.incarnation = Incarnation::draw(rng);
         self.book = PeerBook::new(&settings(&self.record), self.record.incarnation, now_ms);
@@ -107,25 +116,26 @@
         self.log = ListLog::default();
         self.fleet = Fleet::default();
         self.store = StoreHealth::default();
-        self.reads = false;
+        self.reads_store = false;
         self.position = None;
-        self.is_asking = false;
+        self.is_fetching = false;
         self.is_notified = false;
-        self.asking = PeerSelector::default();
+        self.selector = PeerSelector::default();
         self.quarantine = Quarantine::default();
-        self.process = Process::Runs { since_ms: now_ms };
+        self.process = Process::Running { since_ms: now_ms };
     }
 
-    /// Whether a request would be sent there, rather than to one that stays and has much to do.
+    /// Whether a request would be sent to this endpoint rather than to a busy one that stays in
+    /// service.
     pub(super) fn would_choose(&mut self, id: &EndpointId, now_ms: u64) -> bool {
-        let stays = EndpointId::from(STAYS);
+        let permanent = EndpointId::from(PERMANENT_ENDPOINT);
         let known = self.fleet.get(id);
         if known.is_none_or(|known| known.listed.phase != Phase::Live) {
             return false;
         }
         let ids = self.fleet.iter().map(|known| known.id().clone());
-        let others: IndexSet<EndpointId> = ids.filter(|it| it != id && *it != stays).collect();
-        let Some(busy) = self.fleet.get_mut(&stays) else {
+        let others: IndexSet<EndpointId> = ids.filter(|it| it != id && *it != permanent).collect();
+        let Some(busy) = self.fleet.get_mut(&permanent) else {
             return false;
         };
         busy.in_flight = 100;
@@ -134,26 +144,26 @@
         pick_replica(&self.fleet, &service, zone, &others, now_ms).as_ref() == Some(id)
     }
 
-    /// Sends a request to an endpoint, if it may be sent one now.
-    pub(super) fn sends_to(&mut self, id: &EndpointId, now_ms: u64) -> bool {
+    /// Sends a request to an endpoint if its rate limit permits. Returns whether it was sent.
+    pub(super) fn try_send(&mut self, id: &EndpointId, now_ms: u64) -> bool {
         self.fleet.pacing.acquire_permit(id, now_ms) != Permit::Missing
     }
 
-    /// Takes an answer of an endpoint that names this limit.
-    pub(super) fn hear_limit(&mut self, id: &EndpointId, limit_per_s: Option<f64>, now_ms: u64) {
-        let said = Pacing {
+    /// Applies the rate limit from a response of an endpoint.
+    pub(super) fn apply_limit(&mut self, id: &EndpointId, limit_per_s: Option<f64>, now_ms: u64) {
+        let pacing = Pacing {
             limit: limit_per_s.map_or(RateLimitUpdate::Unlimited, RateLimitUpdate::PerSecond),
             ..Pacing::default()
         };
-        self.fleet.pacing.apply(id, said, now_ms);
+        self.fleet.pacing.apply(id, pacing, now_ms);
         update_limit_shares(&mut self.fleet, &self.book, now_ms);
         if self.fleet.pacing.has_unsent_updates() {
             self.book.request_heartbeat();
         }
     }
 
-    fn is_fed(&self, now_ms: u64) -> bool {
-        if self.reads {
+    fn receives_store_updates(&self, now_ms: u64) -> bool {
+        if self.reads_store {
             self.store.is_answering()
         } else {
             self.book.zone_has_store_reader(now_ms)
@@ -161,13 +171,13 @@
     }
 
     fn own_state(&mut self, now_ms: u64) -> OwnState {
-        let answered_ms = self.store.last_answer_ms().filter(|_| self.reads);
+        let answered_ms = self.store.last_answer_ms().filter(|_| self.reads_store);
         OwnState {
             availability: Availability {
                 is_ready: self.fleet.is_loaded(),
                 is_open: self.fleet.is_loaded(),
-                reaches_store: self.reads && self.store.is_answering(),
-                receives_store_updates: self.is_fed(now_ms),
+                reaches_store: self.reads_store && self.store.is_answering(),
+                receives_store_updates: self.receives_store_updates(now_ms),
             },
             table: 1,
             table_age_ms: 0,
@@ -181,14 +191,16 @@
         }
     }
 
-    /// Decides anew whether the store is read here. Returns whether that begins now.
-    pub(super) fn look_at_reading(&mut self, now_ms: u64) -> bool {
+    /// Decides again whether this instance reads the store. Returns whether it starts to do so now.
+    pub(super) fn update_store_reader(&mut self, now_ms: u64) -> bool {
         let answered_ms = self.store.last_answer_ms();
-        let view = self.book.store_reader_view(self.reads, answered_ms, now_ms);
+        let view = self
+            .book
+            .store_reader_view(self.reads_store, answered_ms, now_ms);
         let should_read = view.should_read(now_ms);
-        let begins = should_read && !self.reads;
-        self.reads = should_read;
-        begins
+        let starts = should_read && !self.reads_store;
+        self.reads_store = should_read;
+        starts
     }
 
     pub(super) fn heartbeat(&mut self, now_ms: u64) -> (Heartbeat, Vec<Recipient>) {
@@ -200,8 +212,9 @@
         (heartbeat, recipients)
     }
 
-    /// Takes a heartbeat. Returns whether its sender knows more of the list.
-    pub(super) fn hear(
+    /// Processes a heartbeat. Returns whether its sender knows changes to the list that are not
+    /// known here.
+    pub(super) fn on_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
         from: SocketAddr,
@@ -213,24 +226,24 @@
         let newest_at_ms = sent_ms.map(|it| it.saturating_sub(heartbeat.list_age_ms));
         let (log, fleet) = (&mut self.log, &mut self.fleet);
         let peer = &heartbeat.instance;
-        let knows_list =
+        let knows_all_changes =
             list_sync::observe_peer_watermark(log, fleet, peer, heartbeat.list, newest_at_ms);
-        let relays = self.book.is_top_ranked_in_zone(now_ms);
+        let forwards = self.book.is_top_ranked_in_zone(now_ms);
         self.quarantine
-            .apply_report(&heartbeat.evidence, relays, now_ms);
+            .apply_report(&heartbeat.evidence, forwards, now_ms);
         let pacing = &mut self.fleet.pacing;
-        let mut told = heartbeat.limits.iter();
-        if told.any(|it| pacing.apply_reports(it, now_ms)) {
+        let mut reports = heartbeat.limits.iter();
+        if reports.any(|it| pacing.apply_reports(it, now_ms)) {
             update_limit_shares(&mut self.fleet, &self.book, now_ms);
         }
         for id in &heartbeat.leaving {
             self.fleet.record_peer_leaving(peer, id, now_ms);
         }
-        !knows_list
+        !knows_all_changes
     }
 
-    /// Takes a read of the store. Returns whether peers are told at once.
-    pub(super) fn take_read(
+    /// Applies a read of the store. Returns whether peers must be notified immediately.
+    pub(super) fn apply_read(
         &mut self,
         read: FeedRead<ListingRead>,
         sent_ms: u64,
@@ -238,9 +251,9 @@
     ) -> bool {
         self.store.record_answer(now_ms);
         self.position = Some(read.position);
-        let was_away = self.store.is_unavailable(now_ms);
+        let after_outage = self.store.is_unavailable(now_ms);
         let (log, fleet) = (&mut self.log, &mut self.fleet);
-        let applied = list_sync::apply_read(log, fleet, read, was_away, sent_ms, now_ms);
+        let applied = list_sync::apply_read(log, fleet, read, after_outage, sent_ms, now_ms);
         for change in &applied.changes {
             if let FleetChange::Leaving(id) | FleetChange::Removed(id) = change {
                 self.book.announce_leaving(id);
@@ -252,53 +265,61 @@
         applied.must_notify_peers
     }
 
-    pub(super) fn known(&self) -> KnownVersions {
+    pub(super) fn known_versions(&self) -> KnownVersions {
         KnownVersions {
             table: 1,
             list: self.log.watermark().position,
         }
     }
 
-    /// Whom to ask for what is not known here, if anybody is to be asked.
-    pub(super) fn whom_to_ask(&mut self, draw: u64, now_ms: u64) -> Option<SyncSource> {
+    /// The peer to request updates from, if a request is needed now.
+    pub(super) fn peer_to_fetch_from(&mut self, draw: u64, now_ms: u64) -> Option<SyncSource> {
         let sync_sources = self.book.sync_sources(now_ms);
-        let known = self.known();
-        let knowledge = SyncState {
-            behind_since_ms: self.asking.update_lag(&sync_sources, known, now_ms),
-            reads_store: self.reads,
-            is_fed: self.is_fed(now_ms),
+        let known = self.known_versions();
+        let state = SyncState {
+            behind_since_ms: self.selector.update_lag(&sync_sources, known, now_ms),
+            reads_store: self.reads_store,
+            is_fed: self.receives_store_updates(now_ms),
             list_age_ms: self.fleet.age_ms(now_ms),
         };
-        let next = self.asking.next(
+        let next = self.selector.next(
             &sync_sources,
-            knowledge,
+            state,
             known,
             PartialFetches::default(),
             draw,
             now_ms,
         );
         match next {
-            FetchDecision::Fetch(question) => Some(question.peer),
+            FetchDecision::Fetch(request) => Some(request.peer),
             FetchDecision::Idle | FetchDecision::Wait { .. } => None,
         }
     }
 
-    /// What it hands to a peer, and how old that is.
-    pub(super) fn answer(&self, position: u64, now_ms: u64) -> Option<(ListUpdate, u64)> {
+    /// Returns the update for a peer at `position`, and the age of the list.
+    pub(super) fn update_for(&self, position: u64, now_ms: u64) -> Option<(ListUpdate, u64)> {
         let update = list_sync::update_since(&self.log, &self.fleet, position)?;
         Some((update, self.fleet.age_ms(now_ms)))
     }
 
-    pub(super) fn take_update(
+    pub(super) fn apply_update(
         &mut self,
         update: ListUpdate,
-        asked_with: u64,
+        requested_position: u64,
         newest_at_ms: u64,
         now_ms: u64,
     ) {
         let (log, fleet) = (&mut self.log, &mut self.fleet);
-        // Only log lines tell which one it was.
+        // The name is used in log lines only.
         let peer = InstanceId::from("peer");
-        list_sync::apply_update(log, fleet, &peer, update, asked_with, newest_at_ms, now_ms);
+        list_sync::apply_update(
+            log,
+            fleet,
+            &peer,
+            update,
+            requested_position,
+            newest_at_ms,
+            now_ms,
+        );
     }
 }
--- a/src/relay_server/list_propagation_tests/store.rs
+++ b/src/relay_server/list_propagation_tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's list of endpoints, and what watches of it are told.
+//! The endpoint list in the simulated store, and the responses to reads and watches of it.
 
 use indexmap::IndexMap;
 
@@ -14,16 +14,16 @@
     Silent,
 }
 
-/// How an endpoint says that it leaves.
+/// How an endpoint leaves the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Departure {
-    /// Its entry shows it leaving, and is removed seconds later.
+    /// Its entry is marked as leaving first and removed seconds later.
     Announced,
-    /// Its entry is removed.
+    /// Its entry is removed without notice.
     Removed,
 }
 
-/// A change of one entry; `None` where it was removed.
+/// Position, id and new entry of a change; the entry is `None` if it was removed.
 type Change = (u64, EndpointId, Option<ListedEndpoint>);
 
 pub(super) struct Store {
@@ -58,8 +58,8 @@
         store
     }
 
-    /// A write of something else than the list.
-    pub(super) fn write_elsewhere(&mut self) {
+    /// Writes something that is not part of the list.
+    pub(super) fn write_unrelated(&mut self) {
         self.position += 1;
     }
 
@@ -88,20 +88,22 @@
         }
     }
 
-    pub(super) fn whole(&self) -> FeedRead<ListingRead> {
+    pub(super) fn full_list(&self) -> FeedRead<ListingRead> {
         FeedRead {
             position: self.position,
             content: ListingRead::full(self.entries.values().cloned().collect()),
         }
     }
 
-    pub(super) fn has_news(&self, since: u64) -> bool {
-        self.changes.last().is_some_and(|change| change.0 > since)
+    pub(super) fn has_changes_since(&self, position: u64) -> bool {
+        self.changes
+            .last()
+            .is_some_and(|change| change.0 > position)
     }
 
-    /// What has changed since a position: each entry once, as it is now.
-    pub(super) fn since(&self, since: u64) -> FeedRead<ListingRead> {
-        let newer = self.changes.iter().filter(|change| change.0 > since);
+    /// The entries that have changed since a position, each in its current state.
+    pub(super) fn changes_since(&self, position: u64) -> FeedRead<ListingRead> {
+        let newer = self.changes.iter().filter(|change| change.0 > position);
         let newest: IndexMap<&EndpointId, &Option<ListedEndpoint>> =
             newer.map(|(_, id, entry)| (id, entry)).collect();
         let written = newest.values().filter_map(|entry| entry.as_ref());
