--- a/src/relay_server/document_distribution_tests/mod.rs
+++ b/src/relay_server/document_distribution_tests/mod.rs
@@ -10,6 +10,7 @@
 //! instances showed failed snapshot requests (69 in one run, 98 in another, to two peers each)
 //! followed by excluded endpoints.
 
+mod event;
 mod links;
 mod simulation;
 
--- a/src/relay_server/document_distribution_tests/simulation.rs
+++ b/src/relay_server/document_distribution_tests/simulation.rs
@@ -15,6 +15,7 @@
 use super::super::snapshot::{FETCH_TIMEOUT_MS, KnownVersions, POLL_INTERVAL_MS};
 use super::super::store_readers::READERS_PER_ZONE;
 use super::super::uplink::{Admission, Uplink};
+use super::event::{Event, Received};
 use super::links::{LinkEvent, Links, Transfer};
 use crate::ids::InstanceId;
 
@@ -27,44 +28,6 @@
 /// Number of instances with fast links in each zone: the first ones.
 const FAST_PER_ZONE: usize = 2;
 
-enum Event {
-    SendHeartbeat,
-    HeartbeatReceived {
-        from: usize,
-        table: u64,
-    },
-    StoreRead {
-        table: u64,
-    },
-    /// The regular check whether a peer has a newer version.
-    Poll,
-    /// An additional check, after waiting for a busy peer.
-    Retry,
-    Request {
-        from: usize,
-        call: u64,
-        received: Received,
-    },
-    Rejected {
-        call: u64,
-        wait_ms: u64,
-    },
-    Timeout {
-        call: u64,
-    },
-    Link(LinkEvent),
-    Applied {
-        table: u64,
-    },
-}
-
-/// The part of a document that an instance has received.
-#[derive(Clone, Copy, Debug, Default)]
-struct Received {
-    version: u64,
-    bytes: usize,
-}
-
 struct Instance {
     name: InstanceId,
     address: SocketAddr,
--- a/src/relay_server/list_propagation_tests/scheduled_event.rs
+++ b/src/relay_server/list_propagation_tests/events.rs
@@ -1,8 +1,47 @@
 //! Events of a simulated deployment, ordered by time.
 
 use std::cmp::Reverse;
+use std::rc::Rc;
 
-use super::simulation::Event;
+use super::super::adapter::FeedRead;
+use super::super::heartbeat::{Echo, Heartbeat};
+use super::super::list_sync::ListUpdate;
+use crate::fleet::ListingRead;
+use crate::ids::InstanceId;
+
+pub(super) enum Event {
+    SendHeartbeat,
+    HeartbeatReceived {
+        from: usize,
+        heartbeat: Rc<Heartbeat>,
+        echo: Option<Echo>,
+    },
+    /// Start of a read or watch of the list.
+    ListCall,
+    /// The store answers a watch because its wait is over.
+    ListWatchExpired {
+        sent_ms: u64,
+    },
+    /// End of a read or watch of the list; `read` is `None` if the call failed.
+    ListCallEnded {
+        sent_ms: u64,
+        read: Option<FeedRead<ListingRead>>,
+    },
+    TableCall,
+    TableCallEnded {
+        is_answered: bool,
+    },
+    /// Check whether a peer knows more.
+    Poll,
+    PeerTimedOut(InstanceId),
+    PeerResponded {
+        requested_position: u64,
+        sent_ms: u64,
+        update: ListUpdate,
+        age_ms: u64,
+    },
+    Sweep,
+}
 
 /// An event that is due at one instance. The earliest one is the greatest.
 pub(super) struct ScheduledEvent {
--- a/src/relay_server/list_propagation_tests/mod.rs
+++ b/src/relay_server/list_propagation_tests/mod.rs
@@ -2,9 +2,9 @@
 //! instance, how long a request that is to be withheld is still sent, and how many requests reach
 //! an endpoint with a rate limit.
 
+mod events;
 mod instance;
 mod limits;
-mod scheduled_event;
 mod simulation;
 mod store;
 mod withheld;
--- a/src/relay_server/list_propagation_tests/simulation.rs
+++ b/src/relay_server/list_propagation_tests/simulation.rs
@@ -9,17 +9,18 @@
 use rand::{RngExt, SeedableRng};
 
 use super::super::adapter::FeedRead;
-use super::super::heartbeat::{Echo, Heartbeat};
-use super::super::list_sync::ListUpdate;
 use super::super::peer::{InstanceRecord, SyncSource};
 use super::super::peer_book::HEARTBEAT_INTERVAL_MS;
+use super::events::{Event, ScheduledEvent};
 use super::instance::{Instance, Process};
-use super::scheduled_event::ScheduledEvent;
 use super::store::{Access, Departure, Store};
 use crate::fleet::{ListedEndpoint, ListingRead};
-use crate::ids::{EndpointId, InstanceId};
+use crate::ids::EndpointId;
 use crate::quarantine::{EndpointLiveness, RequestDigest, RunStage};
 
+/// Duration of a call that the store answers immediately.
+const CALL_MS: u64 = 2;
+
 // The following values are the same as in production.
 
 /// How long the store holds a watch without changes before it answers.
@@ -34,8 +35,6 @@
 const POLL_INTERVAL_MS: u64 = 250;
 const PEER_TIMEOUT_MS: u64 = 400;
 const SWEEP_INTERVAL_MS: u64 = 200;
-/// Duration of a call that the store answers immediately.
-const CALL_MS: u64 = 2;
 
 /// Faults that occur throughout a run.
 #[derive(Clone, Copy, Debug)]
@@ -48,40 +47,6 @@
     pub(super) silent: f64,
 }
 
-pub(super) enum Event {
-    SendHeartbeat,
-    HeartbeatReceived {
-        from: usize,
-        heartbeat: Rc<Heartbeat>,
-        echo: Option<Echo>,
-    },
-    /// Start of a read or watch of the list.
-    ListCall,
-    /// The store answers a watch because its wait is over.
-    ListWatchExpired {
-        sent_ms: u64,
-    },
-    /// End of a read or watch of the list; `read` is `None` if the call failed.
-    ListCallEnded {
-        sent_ms: u64,
-        read: Option<FeedRead<ListingRead>>,
-    },
-    TableCall,
-    TableCallEnded {
-        is_answered: bool,
-    },
-    /// Check whether a peer knows more.
-    Poll,
-    PeerTimedOut(InstanceId),
-    PeerResponded {
-        requested_position: u64,
-        sent_ms: u64,
-        update: ListUpdate,
-        age_ms: u64,
-    },
-    Sweep,
-}
-
 /// A pending watch of the list.
 struct Watch {
     instance: usize,
@@ -187,14 +152,7 @@
         let reset = self.watches.extract_if(.., |it| it.instance == index);
         let sent: Vec<u64> = reset.map(|it| it.sent_ms).collect();
         for sent_ms in sent {
-            self.schedule(
-                index,
-                1,
-                Event::ListCallEnded {
-                    sent_ms,
-                    read: None,
-                },
-            );
+            self.schedule_list_call_end(index, 1, sent_ms, None);
         }
     }
 
@@ -257,11 +215,7 @@
             .collect();
         for watch in answered {
             let read = self.store.changes_since(watch.since);
-            let ended = Event::ListCallEnded {
-                sent_ms: watch.sent_ms,
-                read: Some(read),
-            };
-            self.schedule(watch.instance, CALL_MS, ended);
+            self.schedule_list_call_end(watch.instance, CALL_MS, watch.sent_ms, Some(read));
         }
     }
 
@@ -276,6 +230,16 @@
         });
     }
 
+    fn schedule_list_call_end(
+        &mut self,
+        index: usize,
+        after_ms: u64,
+        sent_ms: u64,
+        read: Option<FeedRead<ListingRead>>,
+    ) {
+        self.schedule(index, after_ms, Event::ListCallEnded { sent_ms, read });
+    }
+
     /// Processes all events up to this time.
     pub(super) fn run_until(&mut self, until_ms: u64) {
         while self.queue.peek().is_some_and(|it| it.at_ms <= until_ms) {
@@ -410,33 +374,19 @@
         let wait_ms = position.map_or(0, |_| WATCH_WAIT_MS);
         match (access, position) {
             (Access::Refuses, _) => {
-                self.schedule(
-                    index,
-                    CALL_MS,
-                    Event::ListCallEnded {
-                        sent_ms,
-                        read: None,
-                    },
-                );
+                self.schedule_list_call_end(index, CALL_MS, sent_ms, None);
             }
             (Access::Silent, _) => {
                 let after_ms = wait_ms + CALL_TIMEOUT_MS;
-                self.schedule(
-                    index,
-                    after_ms,
-                    Event::ListCallEnded {
-                        sent_ms,
-                        read: None,
-                    },
-                );
+                self.schedule_list_call_end(index, after_ms, sent_ms, None);
             }
             (Access::Answers, None) => {
                 let read = Some(self.store.full_list());
-                self.schedule(index, CALL_MS, Event::ListCallEnded { sent_ms, read });
+                self.schedule_list_call_end(index, CALL_MS, sent_ms, read);
             }
             (Access::Answers, Some(since)) if self.store.has_changes_since(since) => {
                 let read = Some(self.store.changes_since(since));
-                self.schedule(index, CALL_MS, Event::ListCallEnded { sent_ms, read });
+                self.schedule_list_call_end(index, CALL_MS, sent_ms, read);
             }
             (Access::Answers, Some(since)) => {
                 let is_silent = self.rng.random_bool(self.faults.silent);
@@ -460,14 +410,10 @@
         let Some(found) = found else { return };
         let watch = self.watches.swap_remove(found);
         if watch.is_silent {
-            let ended = Event::ListCallEnded {
-                sent_ms,
-                read: None,
-            };
-            return self.schedule(index, CALL_TIMEOUT_MS, ended);
+            return self.schedule_list_call_end(index, CALL_TIMEOUT_MS, sent_ms, None);
         }
         let read = Some(self.store.changes_since(watch.since));
-        self.schedule(index, CALL_MS, Event::ListCallEnded { sent_ms, read });
+        self.schedule_list_call_end(index, CALL_MS, sent_ms, read);
     }
 
     fn end_list_call(&mut self, index: usize, sent_ms: u64, read: Option<FeedRead<ListingRead>>) {
