--- a/src/relay_server/list_log.rs
+++ b/src/relay_server/list_log.rs
@@ -28,8 +28,8 @@
 pub(crate) struct LoggedRead {
     pub(crate) position: u64,
     pub(crate) read: ListingRead,
-    /// The store failed to return or keep the list shortly before this read, so entries of live
-    /// endpoints may be missing.
+    /// The list could not be read or updated in the store shortly before this read, so entries of
+    /// live endpoints may be missing.
     pub(crate) after_outage: bool,
 }
 
--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -56,9 +56,10 @@
     unreachable!("each call transfers at least one entry")
 }
 
-// Regression: after 300 instances had been killed at once beside 2,999 engines, each fetched the
-// full list, 180 kB, in one call of at most 400 ms. Dozens of concurrent calls filled the links of
-// the instances that had the list, and hundreds of calls a second ended without a complete reply.
+// Regression: after all 300 instances in front of 2,999 engines had been killed at once, each
+// fetched the full list, 180 kB, in one call of at most 400 ms. Dozens of concurrent calls filled
+// the links of the instances that had the list, and hundreds of calls a second ended without a
+// complete reply.
 #[test]
 fn a_long_list_is_transferred_in_parts_that_fit_a_slow_link() {
     let listed = entries(2_999);
@@ -112,7 +113,7 @@
     assert!(partial.add(second, &other).is_err());
 }
 
-// Regression: a provider that was busy and then terminated before it was asked again kept the
+// Found in review: a provider that was busy and then terminated before the next request kept the
 // instance from ever requesting the list from another peer.
 #[test]
 fn another_peer_is_asked_for_the_list_after_the_provider_is_lost() {
--- a/src/relay_server/list_sync.rs
+++ b/src/relay_server/list_sync.rs
@@ -24,8 +24,8 @@
     pub(super) must_notify_peers: bool,
 }
 
-/// Applies a read of the store that was requested at `sent_ms`. `after_outage` says that the store
-/// failed to return or keep the list shortly before.
+/// Applies a read of the store that was requested at `sent_ms`. `after_outage` says that the list
+/// could not be read or updated in the store shortly before.
 pub(super) fn apply_read(
     log: &mut ListLog,
     fleet: &mut Fleet,
