--- a/src/entry/applications.rs
+++ b/src/entry/applications.rs
@@ -49,11 +49,11 @@
             return false;
         };
         if let Some(replica) = call.replica.take() {
-            self.router.release_application(&replica.endpoint, now_ms);
+            self.router.release_replica(&replica.endpoint, now_ms);
         }
         let picked = self
             .router
-            .pick_application(&attempt.service, &call.tried, now_ms);
+            .reserve_replica(&attempt.service, &call.tried, now_ms);
         call.replica = picked.map(|(endpoint, address)| Replica { endpoint, address });
         call.replica.is_some()
     }
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -9,7 +9,7 @@
 use crate::document::ModelOffer;
 use crate::ids::{EndpointId, ServiceName};
 use crate::instance::EntryEffect;
-use crate::routing::{NoRoute, Policy, RouteAsk};
+use crate::routing::{NoRoute, Policy, RouteRequest};
 use crate::wire::engine::Stage;
 
 impl<P> Entry<P>
@@ -59,8 +59,8 @@
         now_ms: u64,
     ) -> Result<(ModelOffer, Vec<Stage>), NoRoute> {
         let mut failure = NoRoute::Incomplete;
-        for offer in self.router.offers_held(service, &completion.model) {
-            let ask = RouteAsk {
+        for offer in self.router.loaded_offers(service, &completion.model) {
+            let ask = RouteRequest {
                 stream: completion.stream,
                 service,
                 model: &offer,
@@ -204,7 +204,7 @@
             self.counts.count("entry.retries.denied");
             return ChainMessage::RetryDenied;
         }
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             stream: completion.stream,
             service: &attempt.service,
             model: &completion.model,
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -120,7 +120,7 @@
             Work::Completion(completion) => self.router.release(completion.stream, now_ms),
             Work::Application(call) => {
                 if let Some(replica) = call.replica.take() {
-                    self.router.release_application(&replica.endpoint, now_ms);
+                    self.router.release_replica(&replica.endpoint, now_ms);
                 }
             }
         }
--- a/src/entry/machine.rs
+++ b/src/entry/machine.rs
@@ -197,7 +197,7 @@
     }
 
     fn poll_engines(&mut self, now_ms: u64) {
-        for poll in self.router.polls(now_ms) {
+        for poll in self.router.due_polls(now_ms) {
             let effect = poll_effect(poll.endpoint, poll.address, poll.kind);
             self.out.push(effect);
         }
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -36,7 +36,7 @@
             stopping: self.stopping,
             in_flight: super::arrival::position(self.attempts.len()),
             demands: self.admission.demands(now_ms),
-            draining_endpoints: self.router.drained(),
+            draining_endpoints: self.router.draining_endpoints(),
             decisions: std::mem::take(&mut self.decisions).into(),
             revisions: self.directory.revisions().clone(),
             capacities,
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -341,7 +341,7 @@
     }
 
     /// Endpoints that said they drain.
-    pub(crate) fn drained(&self) -> Vec<EndpointId> {
+    pub(crate) fn draining_endpoints(&self) -> Vec<EndpointId> {
         let draining = self.all.values().filter(|e| e.draining_since_ms.is_some());
         draining.map(|endpoint| endpoint.id.clone()).collect()
     }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -36,7 +36,7 @@
     Candidate, FlowWeighted, LeastOutstanding, Policy, PolicyKind, RandomChoice, RoundRobin,
 };
 pub use polls::{Poll, PollKind};
-pub use router::{NoRoute, RouteAsk, Router};
+pub use router::{NoRoute, RouteRequest, Router};
 
 #[cfg(test)]
 mod tests;
--- a/src/routing/planning.rs
+++ b/src/routing/planning.rs
@@ -10,7 +10,7 @@
 use super::lanes::Lane;
 use super::policy::{Candidate, Policy};
 use super::rebuild;
-use super::router::{NoRoute, RouteAsk, Router};
+use super::router::{NoRoute, RouteRequest, Router};
 use super::streams::Reservation;
 
 /// Rank of a lane whose own slots are used up, above that of any other.
@@ -26,7 +26,7 @@
     /// for the same stream replaces the slots of the first, also when it finds no chain.
     ///
     /// A stream that is rebuilt does not wait for slots: engines admit it before new ones.
-    pub fn plan(&mut self, ask: &RouteAsk<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
+    pub fn plan(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
         let before = self.reservations.release(&mut self.table, ask.stream);
         let tokens_before = before.map_or(0, |held| held.tokens_before + held.tokens);
         let stages = if ask.previous.is_empty() {
@@ -39,7 +39,7 @@
         Ok(stages)
     }
 
-    fn plan_new(&mut self, ask: &RouteAsk<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
+    fn plan_new(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
         if self.policy.uses_lanes()
             && let Some(runs) = self.choose_lane(ask, now_ms)
         {
@@ -60,7 +60,7 @@
 
     fn plan_rebuilt(
         &mut self,
-        ask: &RouteAsk<'_>,
+        ask: &RouteRequest<'_>,
         tokens_before: u32,
         now_ms: u64,
     ) -> Result<Vec<Stage>, NoRoute> {
@@ -87,7 +87,7 @@
     }
 
     /// A lane with a slot of this entry's own, or one that is lent.
-    fn choose_lane(&mut self, ask: &RouteAsk<'_>, now_ms: u64) -> Option<Vec<Run>> {
+    fn choose_lane(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Option<Vec<Run>> {
         let at = self.routes_for(ask.service, ask.model, ask.adapter, now_ms);
         let cached = self.hints.holders(first_block(ask.prompt), now_ms);
         let lanes = &self.routes[at].lanes;
@@ -115,7 +115,7 @@
     /// Part of the lane's engines that likely cache the prompt; `None` if one cannot be used.
     fn lane_warmth(
         &self,
-        ask: &RouteAsk<'_>,
+        ask: &RouteRequest<'_>,
         lane: &Lane,
         cached: &[u32],
         now_ms: u64,
@@ -134,7 +134,7 @@
     }
 
     /// Whether chains may be searched beside the lanes: some lane has lost an engine.
-    fn may_search(&mut self, ask: &RouteAsk<'_>, now_ms: u64) -> bool {
+    fn may_search(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> bool {
         if !self.policy.uses_lanes() {
             return true;
         }
@@ -148,7 +148,12 @@
     }
 
     /// A chain by the policy's ranks.
-    fn choose(&mut self, ask: &RouteAsk<'_>, within_limits: bool, now_ms: u64) -> Option<Vec<Run>> {
+    fn choose(
+        &mut self,
+        ask: &RouteRequest<'_>,
+        within_limits: bool,
+        now_ms: u64,
+    ) -> Option<Vec<Run>> {
         let at = self.routes_for(ask.service, ask.model, ask.adapter, now_ms);
         let cached = self.hints.holders(first_block(ask.prompt), now_ms);
         let Self {
@@ -183,7 +188,7 @@
     /// A chain that keeps the living stages of the last one.
     fn replace_lost(
         &mut self,
-        ask: &RouteAsk<'_>,
+        ask: &RouteRequest<'_>,
         within_limits: bool,
         now_ms: u64,
     ) -> Option<Vec<Run>> {
@@ -212,7 +217,13 @@
         runs.iter().filter_map(stage).collect()
     }
 
-    fn reserve(&mut self, ask: &RouteAsk<'_>, stages: &[Stage], tokens_before: u32, now_ms: u64) {
+    fn reserve(
+        &mut self,
+        ask: &RouteRequest<'_>,
+        stages: &[Stage],
+        tokens_before: u32,
+        now_ms: u64,
+    ) {
         let block = first_block(ask.prompt);
         let cached = self.hints.holders(block, now_ms);
         let first = stages
@@ -236,7 +247,7 @@
     }
 
     /// Asserts what every plan must satisfy.
-    fn check(&self, ask: &RouteAsk<'_>, stages: &[Stage], now_ms: u64) {
+    fn check(&self, ask: &RouteRequest<'_>, stages: &[Stage], now_ms: u64) {
         let covers = stages.first().map(|stage| stage.layers.first) == Some(0)
             && stages.last().map(|stage| stage.layers.end) == Some(ask.model.layers)
             && stages
--- a/src/routing/rebuild.rs
+++ b/src/routing/rebuild.rs
@@ -11,7 +11,7 @@
 use super::chain::{Run, Step, search};
 use super::endpoints::{Endpoint, EndpointTable};
 use super::graph::Graph;
-use super::router::RouteAsk;
+use super::router::RouteRequest;
 
 /// Tokens over which the gaps of two chains are compared with the cost of recomputing.
 const HORIZON_TOKENS: f64 = 64.0;
@@ -21,7 +21,7 @@
 /// Stages of the last chain that can stay.
 pub(crate) fn kept_stages<'a>(
     table: &EndpointTable,
-    ask: &RouteAsk<'a>,
+    ask: &RouteRequest<'a>,
     now_ms: u64,
 ) -> Vec<&'a Stage> {
     let stays = |stage: &&Stage| {
@@ -52,7 +52,7 @@
 /// Replaces only the lost stages. `rank` is as in [`search`]; it is asked about replacements only.
 pub(crate) fn replace_lost<F>(
     table: &EndpointTable,
-    ask: &RouteAsk<'_>,
+    ask: &RouteRequest<'_>,
     kept: &[&Stage],
     mut rank: F,
 ) -> Option<Vec<Run>>
@@ -80,7 +80,7 @@
 }
 
 /// Decides which stages recompute and which import; `stages` say all recompute.
-pub(crate) fn mark(table: &EndpointTable, ask: &RouteAsk<'_>, stages: &mut [Stage]) {
+pub(crate) fn mark(table: &EndpointTable, ask: &RouteRequest<'_>, stages: &mut [Stage]) {
     let kept: Vec<bool> = stages.iter().map(|stage| is_kept(ask, stage)).collect();
     let sources: Vec<_> = stages
         .iter()
@@ -99,7 +99,7 @@
     }
 }
 
-fn is_kept(ask: &RouteAsk<'_>, stage: &Stage) -> bool {
+fn is_kept(ask: &RouteRequest<'_>, stage: &Stage) -> bool {
     ask.previous.iter().any(|before| {
         before.endpoint == stage.endpoint
             && before.address == stage.address
@@ -110,7 +110,7 @@
 /// An engine of the last chain that leaves but can still hand over the stage's KV state.
 fn source(
     table: &EndpointTable,
-    ask: &RouteAsk<'_>,
+    ask: &RouteRequest<'_>,
     stage: &Stage,
 ) -> Option<std::net::SocketAddr> {
     let before = ask
@@ -134,6 +134,6 @@
 }
 
 /// Whether an engine must not be used for this ask.
-pub(crate) fn is_excluded(ask: &RouteAsk<'_>, id: &EndpointId) -> bool {
+pub(crate) fn is_excluded(ask: &RouteRequest<'_>, id: &EndpointId) -> bool {
     !ask.exclude.is_empty() && ask.exclude.contains(id)
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -22,7 +22,7 @@
 
 /// What a chain is wanted for.
 #[derive(Clone, Copy, Debug)]
-pub struct RouteAsk<'a> {
+pub struct RouteRequest<'a> {
     /// The stream; its slots are kept under this id.
     pub stream: StreamId,
     /// The service.
@@ -186,7 +186,7 @@
 
     /// Questions that are due now; each is returned once. Brings routes and capacities up to date
     /// too, and is to be called at every tick.
-    pub fn polls(&mut self, now_ms: u64) -> Vec<Poll> {
+    pub fn due_polls(&mut self, now_ms: u64) -> Vec<Poll> {
         self.keep_routes(now_ms);
         polls::due(&mut self.table, &mut self.rng, now_ms)
     }
@@ -197,14 +197,14 @@
     }
 
     /// Tokens a second that the usable engines of a service could generate: the maximum flow,
-    /// summed over its models, as of the last [`Self::polls`].
+    /// summed over its models, as of the last [`Self::due_polls`].
     pub fn capacity_tokens_per_s(&self, service: &ServiceName) -> f64 {
         self.capacities.get(service).copied().unwrap_or(0.0)
     }
 
     /// The offer, and behind it the same offer under each other version that an engine of the
     /// service holds. While engines change from one version to another, chains of both serve.
-    pub fn offers_held(&self, service: &ServiceName, model: &ModelOffer) -> Vec<ModelOffer> {
+    pub fn loaded_offers(&self, service: &ServiceName, model: &ModelOffer) -> Vec<ModelOffer> {
         let mut offers = vec![model.clone()];
         let engines = self.table.all.values().filter(|it| it.service == *service);
         for state in engines.filter_map(|engine| engine.state.as_ref()) {
@@ -220,7 +220,7 @@
     }
 
     /// Chooses a replica and keeps a slot on it; `None` if all are excluded, away or full.
-    pub fn pick_application(
+    pub fn reserve_replica(
         &mut self,
         service: &ServiceName,
         exclude: &[EndpointId],
@@ -240,7 +240,7 @@
     }
 
     /// Gives back the slot of a call.
-    pub fn release_application(&mut self, endpoint: &EndpointId, now_ms: u64) {
+    pub fn release_replica(&mut self, endpoint: &EndpointId, now_ms: u64) {
         if let Some(endpoint) = self.table.all.get_mut(endpoint) {
             endpoint.calls.end(endpoint.outstanding, now_ms);
             // After a call that ended the replica is trusted again, unless it has just failed.
@@ -252,7 +252,7 @@
     }
 
     /// Endpoints that said they drain.
-    pub fn drained(&mut self) -> Vec<EndpointId> {
-        self.table.drained()
+    pub fn draining_endpoints(&mut self) -> Vec<EndpointId> {
+        self.table.draining_endpoints()
     }
 }
--- a/src/routing/tests/fleet.rs
+++ b/src/routing/tests/fleet.rs
@@ -15,7 +15,7 @@
 
 use crate::document::{Document, ModelOffer, ServiceKind};
 use crate::ids::{EndpointId, Incarnation, ServiceName, StreamId, ZoneName};
-use crate::routing::{NoRoute, Policy, PollKind, RouteAsk, Router};
+use crate::routing::{NoRoute, Policy, PollKind, RouteRequest, Router};
 use crate::wire::engine::{EngineState, LayerRange, LinkState, Stage};
 use crate::wire::local::EndpointRecord;
 use crate::wire::platform::{InstancePhase, InstanceRole};
@@ -396,7 +396,7 @@
     }
 
     fn tick(&mut self, entry: usize) {
-        for poll in self.routers[entry].polls(self.now_us / 1000) {
+        for poll in self.routers[entry].due_polls(self.now_us / 1000) {
             let engine = self.engines.get_index_of(&poll.endpoint).expect("engine");
             if poll.kind == PollKind::State {
                 self.push(self.now_us + 2_000, Event::StateRead { entry, engine });
@@ -418,7 +418,7 @@
         let stream = StreamId::draw(&mut self.rng);
         let prompt = self.rng.random_range(0..self.spec.prompts);
         let text = format!("p{prompt} ").repeat(self.spec.prompt_tokens as usize);
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             stream,
             service: &service(),
             model: &self.model,
--- a/src/routing/tests/plans.rs
+++ b/src/routing/tests/plans.rs
@@ -34,7 +34,7 @@
     ) {
         let mut world = World::new(&engines);
         if late {
-            (0..3).for_each(|tick| { world.router.polls(300 + tick); });
+            (0..3).for_each(|tick| { world.router.due_polls(300 + tick); });
         }
         for number in 0..engines.len() {
             if leaving[number] {
--- a/src/routing/tests/speed.rs
+++ b/src/routing/tests/speed.rs
@@ -16,7 +16,7 @@
     let mut longest_ms: f64 = 0.0;
     for now_ms in (0..1_000).step_by(20) {
         let start = Instant::now();
-        fleet.routers[0].polls(now_ms);
+        fleet.routers[0].due_polls(now_ms);
         longest_ms = longest_ms.max(start.elapsed().as_secs_f64() * 1e3);
     }
     let mut planned: Vec<StreamId> = Vec::new();
--- a/src/routing/tests/world.rs
+++ b/src/routing/tests/world.rs
@@ -5,7 +5,7 @@
 
 use crate::document::ModelOffer;
 use crate::ids::{EndpointId, Incarnation, StreamId, ZoneName};
-use crate::routing::{FlowWeighted, NoRoute, RouteAsk, Router};
+use crate::routing::{FlowWeighted, NoRoute, RouteRequest, Router};
 use crate::wire::engine::{EngineState, LayerRange, Stage};
 use crate::wire::local::EndpointRecord;
 
@@ -70,7 +70,7 @@
             self.router
                 .set_engine_state(&state.endpoint, Some(state), now_ms);
         }
-        self.router.polls(now_ms);
+        self.router.due_polls(now_ms);
     }
 
     pub(super) fn stream(&mut self) -> StreamId {
@@ -90,7 +90,7 @@
         now_ms: u64,
     ) -> Result<Vec<Stage>, NoRoute> {
         let prompt = "one two three";
-        let ask = RouteAsk {
+        let ask = RouteRequest {
             stream,
             service: &service(),
             model: &self.model,
--- a/src/routing/upkeep.rs
+++ b/src/routing/upkeep.rs
@@ -93,7 +93,7 @@
                 continue;
             };
             let models = models.values();
-            let offers = models.flat_map(|model| self.offers_held(&service, model));
+            let offers = models.flat_map(|model| self.loaded_offers(&service, model));
             let offers: Vec<ModelOffer> = offers.collect();
             let mut capacity = 0.0;
             for offer in &offers {
