--- a/src/routing/applications.rs
+++ b/src/routing/applications.rs
@@ -1,4 +1,4 @@
-//! Choice of a replica for a call of an application service.
+//! Selection of a replica for a call to an application service.
 
 use rand::RngExt;
 use rand::rngs::SmallRng;
@@ -8,13 +8,14 @@
 
 use super::endpoints::{Endpoint, EndpointTable};
 
-/// Replicas up to which all are compared; of more, two drawn at random are.
-const COMPARED: usize = 8;
-/// Load, as a part of the limit, that a replica in another zone must be better by.
-const ZONE_WORTH: f64 = 0.1;
+/// Up to this many replicas, all are compared; otherwise two are drawn at random and compared.
+const MAX_COMPARED: usize = 8;
+/// Penalty for a replica in another zone, as a fraction of its limit.
+const REMOTE_ZONE_PENALTY: f64 = 0.1;
 
-/// The replica with the least part of its limit in use, `None` if no usable one has room.
-pub(crate) fn pick(
+/// Returns the usable replica with the lowest utilization of its limit, or `None` if none has a
+/// free slot.
+pub(crate) fn select_replica(
     table: &EndpointTable,
     service: &ServiceName,
     own_zone: &ZoneName,
@@ -25,24 +26,24 @@
     let is_usable = |endpoint: &Endpoint| {
         endpoint.role == InstanceRole::Application
             && endpoint.service == *service
-            && endpoint.takes_work(now_ms)
-            && endpoint.has_room(now_ms)
+            && endpoint.accepts_work(now_ms)
+            && endpoint.has_free_slot(now_ms)
             && !exclude.contains(&endpoint.id)
     };
-    let all = table.all.values().enumerate();
+    let all = table.endpoints.values().enumerate();
     let mut usable: Vec<(usize, &Endpoint)> = all.filter(|(_, e)| is_usable(e)).collect();
-    if usable.len() > COMPARED {
+    if usable.len() > MAX_COMPARED {
         usable = (0..2)
             .map(|_| usable[rng.random_range(0..usable.len())])
             .collect();
     }
     let load = |endpoint: &Endpoint, draw: f64| {
-        let far = if endpoint.zone == *own_zone {
+        let zone_penalty = if endpoint.zone == *own_zone {
             0.0
         } else {
-            ZONE_WORTH
+            REMOTE_ZONE_PENALTY
         };
-        (f64::from(endpoint.outstanding) + draw) / f64::from(endpoint.slots()) + far
+        (f64::from(endpoint.outstanding) + draw) / f64::from(endpoint.slots()) + zone_penalty
     };
     usable
         .into_iter()
--- a/src/routing/bound.rs
+++ b/src/routing/bound.rs
@@ -1,8 +1,8 @@
-//! The network of one model's engines, made small.
+//! Reduces the engines of one model to a smaller flow network.
 //!
-//! Engines that hold the same layers are interchangeable if no link to or from them can hold them
-//! up: a flow through all of them together can be spread over them in proportion to their rates.
-//! They are one node. An engine with a scarce link is a node by itself.
+//! Engines that hold the same layers are interchangeable if none of their links limits them: a flow
+//! through all of them can be split in proportion to their rates. Such engines form one node. An
+//! engine with a limiting link is a node of its own.
 
 use indexmap::IndexMap;
 
@@ -11,7 +11,7 @@
 use super::graph::Graph;
 use super::links::LinkTable;
 
-/// Most tokens a second that the engines of the graph could generate.
+/// Returns the maximum number of tokens per second that the engines of the graph could generate.
 pub(crate) fn tokens_per_s(
     table: &EndpointTable,
     graph: &Graph,
@@ -21,19 +21,20 @@
     super::flow::solve(&network(table, graph, links, now_ms))
 }
 
-/// What tells nodes apart: the segments held, and the engine itself if a link of it is scarce.
+/// Identifies a node: the first and last segment held, and the engine itself if one of its links is
+/// limiting.
 type NodeKey = (usize, usize, Option<usize>);
 
 fn network(table: &EndpointTable, graph: &Graph, links: &LinkTable, now_ms: u64) -> Network {
     let rates: Vec<f64> = table
-        .all
+        .endpoints
         .values()
         .map(|endpoint| match &endpoint.state {
-            Some(state) if endpoint.takes_work(now_ms) => state.layer_tokens_per_s.max(0.0),
+            Some(state) if endpoint.accepts_work(now_ms) => state.layer_tokens_per_s.max(0.0),
             _ => 0.0,
         })
         .collect();
-    let scarce = engines_with_scarce_links(graph, &rates, links);
+    let limiting = engines_with_limiting_links(graph, &rates, links);
     let mut nodes: IndexMap<NodeKey, Vec<usize>> = IndexMap::new();
     for (engine, rate) in rates.iter().enumerate() {
         let held = graph
@@ -45,7 +46,7 @@
             continue;
         };
         let last = held.iter().rposition(|held| *held).unwrap_or(first);
-        let key = (first, last, scarce[engine].then_some(engine));
+        let key = (first, last, limiting[engine].then_some(engine));
         nodes.entry(key).or_default().push(engine);
     }
     let holders: Vec<Vec<usize>> = (0..graph.segments.len())
@@ -91,21 +92,22 @@
     }
 }
 
-/// Whether each engine has a link that carries less than both of its ends could.
-fn engines_with_scarce_links(graph: &Graph, rates: &[f64], links: &LinkTable) -> Vec<bool> {
-    let mut scarce = vec![false; rates.len()];
+/// For each engine, whether it has a link that carries less than both of its ends could process.
+fn engines_with_limiting_links(graph: &Graph, rates: &[f64], links: &LinkTable) -> Vec<bool> {
+    let mut limiting = vec![false; rates.len()];
     for pair in graph.segments.windows(2) {
         for from in &pair[0].holders {
             for to in &pair[1].holders {
-                // A segment has a layer at least, so that no end handles more tokens than this.
-                let most = rates[*from].min(rates[*to]);
-                let needed = most / f64::from(pair[0].layers.len().min(pair[1].layers.len()));
+                // A segment has at least one layer, so neither end can process more tokens than
+                // this.
+                let max_rate = rates[*from].min(rates[*to]);
+                let needed = max_rate / f64::from(pair[0].layers.len().min(pair[1].layers.len()));
                 if from != to && links.tokens_per_s(*from, *to) < needed {
-                    scarce[*from] = true;
-                    scarce[*to] = true;
+                    limiting[*from] = true;
+                    limiting[*to] = true;
                 }
             }
         }
     }
-    scarce
+    limiting
 }
--- a/src/routing/chain.rs
+++ b/src/routing/chain.rs
@@ -1,12 +1,13 @@
-//! Search of a chain: one holder for each segment, by the policy's rank, with backtracking.
+//! Backtracking search for a chain with one holder for each segment, in the order of the policy's
+//! rank.
 
 use crate::wire::engine::LayerRange;
 
 use super::graph::Graph;
 
-/// A run of layers at one engine.
+/// A contiguous range of layers that one engine runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Run {
+pub(crate) struct LayerRun {
     /// Index of the engine in the endpoint table.
     pub(crate) engine: usize,
     pub(crate) layers: LayerRange,
@@ -16,23 +17,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Step {
     pub(crate) segment: usize,
-    /// Position among the holders of the segment before; `None` at the first.
+    /// Position among the holders of the previous segment; `None` for the first segment.
     pub(crate) previous: Option<usize>,
     /// Position among the holders of the segment.
     pub(crate) position: usize,
-    /// Whether both are the same engine.
+    /// Whether the previous segment runs on the same engine.
     pub(crate) same_engine: bool,
     /// Index of the engine in the endpoint table.
     pub(crate) engine: usize,
 }
 
-/// Finds holders for all segments, the lowest rank first; `rank` returns `None` for a holder that
-/// cannot be used. No engine is used for two runs apart.
+/// Finds a holder for every segment, trying the lowest rank first; `rank` returns `None` for a
+/// holder that cannot be used. No engine is used for two separate runs.
 ///
-/// A holder from which the end was not reached once is not tried again. With overlapping ranges
-/// that may miss a chain whose engine was taken by the earlier part of another attempt; it keeps
-/// the search linear in the number of links.
-pub(crate) fn search<F>(graph: &Graph, rank: F) -> Option<Vec<Run>>
+/// A holder from which the last segment could not be reached is not tried again. With overlapping
+/// ranges this may miss a chain whose engine was used earlier in a failed attempt, but it keeps the
+/// search linear in the number of links.
+pub(crate) fn search<F>(graph: &Graph, rank: F) -> Option<Vec<LayerRun>>
 where
     F: FnMut(Step) -> Option<f64>,
 {
@@ -43,7 +44,7 @@
         graph,
         rank,
         path: Vec::with_capacity(graph.segments.len()),
-        dead: graph
+        exhausted: graph
             .segments
             .iter()
             .map(|segment| vec![false; segment.holders.len()])
@@ -55,9 +56,9 @@
 struct Search<'a, F> {
     graph: &'a Graph,
     rank: F,
-    /// Position of the holder chosen in each segment so far.
+    /// Position of the chosen holder in each segment so far.
     path: Vec<usize>,
-    dead: Vec<Vec<bool>>,
+    exhausted: Vec<Vec<bool>>,
 }
 
 impl<F> Search<'_, F>
@@ -75,7 +76,7 @@
                 return true;
             }
             self.path.pop();
-            self.dead[at][position] = true;
+            self.exhausted[at][position] = true;
         }
         false
     }
@@ -87,7 +88,7 @@
         let mut ranked = Vec::with_capacity(holders.len());
         for (position, &engine) in holders.iter().enumerate() {
             let same_engine = previous_engine == Some(engine);
-            if self.dead[at][position] || (!same_engine && self.is_used(engine)) {
+            if self.exhausted[at][position] || (!same_engine && self.is_used(engine)) {
                 continue;
             }
             let step = Step {
@@ -123,13 +124,13 @@
     Some(ranked.swap_remove(lowest))
 }
 
-fn runs(graph: &Graph, path: &[usize]) -> Vec<Run> {
-    let mut runs: Vec<Run> = Vec::new();
+fn runs(graph: &Graph, path: &[usize]) -> Vec<LayerRun> {
+    let mut runs: Vec<LayerRun> = Vec::new();
     for (segment, position) in graph.segments.iter().zip(path) {
         let engine = segment.holders[*position];
         match runs.last_mut() {
             Some(run) if run.engine == engine => run.layers.end = segment.layers.end,
-            _ => runs.push(Run {
+            _ => runs.push(LayerRun {
                 engine,
                 layers: segment.layers,
             }),
--- a/src/routing/classes.rs
+++ b/src/routing/classes.rs
@@ -1,4 +1,4 @@
-//! Engines that are alike, and the kinds of chains that can be made of them.
+//! Groups similar engines into classes and enumerates the kinds of chains they can form.
 
 use indexmap::IndexMap;
 
@@ -8,36 +8,36 @@
 use super::endpoints::EndpointTable;
 use super::graph::Graph;
 
-/// Kinds of chains looked at; those of fewer stages come first.
-const MOST_KINDS: usize = 2_048;
-/// Stages of the longest kind beyond the shortest one.
-const MORE_STAGES: usize = 3;
-/// Chains of up to this many stages are looked for.
-const MOST_STAGES: usize = 32;
+/// Maximum number of kinds of chains; kinds with fewer stages come first.
+const MAX_KINDS: usize = 2_048;
+/// Maximum number of stages beyond those of the shortest kind.
+const MAX_EXTRA_STAGES: usize = 3;
+/// Maximum number of stages in a chain.
+const MAX_STAGES: usize = 32;
 
-/// Engines with the same layers, rate, batch and place.
+/// Engines with the same layers, accelerator, zone, slots and batch limit, and with similar rates.
 #[derive(Clone, Debug)]
-pub(crate) struct Class {
+pub(crate) struct EngineClass {
     pub(crate) layers: LayerRange,
     pub(crate) layer_tokens_per_s: f64,
     pub(crate) batch_limit: u32,
-    /// Streams that one engine holds at once.
+    /// Maximum number of concurrent streams on one engine.
     pub(crate) slots: u32,
-    /// Indices in the endpoint table, in the order of their ids.
+    /// Indices in the endpoint table, ordered by endpoint id.
     pub(crate) engines: Vec<usize>,
 }
 
-/// A kind of chain: for each stage a class and the layers it runs.
+/// A kind of chain: for each stage, the index of a class and the layers that it runs.
 pub(crate) type ChainKind = Vec<(usize, LayerRange)>;
 
-/// Groups the holders of the graph that take work. The result depends on what engines say of
-/// themselves only, not on the order of lists, so that all entries come to the same.
+/// Groups the holders in the graph that accept work. The result depends only on what the engines
+/// report, not on the order of lists, so that all entries compute the same classes.
 pub(crate) fn group(
     table: &EndpointTable,
     graph: &Graph,
     model: &ModelOffer,
     now_ms: u64,
-) -> Vec<Class> {
+) -> Vec<EngineClass> {
     let mut holders: Vec<usize> = graph
         .segments
         .iter()
@@ -45,15 +45,16 @@
         .collect();
     holders.sort_by(|one, other| id(table, *one).cmp(&id(table, *other)));
     holders.dedup();
-    let mut classes: IndexMap<(LayerRange, String, String, u32, u32, u64), Class> = IndexMap::new();
+    let mut classes: IndexMap<(LayerRange, String, String, u32, u32, u64), EngineClass> =
+        IndexMap::new();
     for engine in holders {
-        let Some((_, endpoint)) = table.all.get_index(engine) else {
+        let Some((_, endpoint)) = table.endpoints.get_index(engine) else {
             continue;
         };
         let Some(state) = endpoint
             .state
             .as_ref()
-            .filter(|_| endpoint.takes_work(now_ms))
+            .filter(|_| endpoint.accepts_work(now_ms))
         else {
             continue;
         };
@@ -67,9 +68,9 @@
             endpoint.zone.to_string(),
             state.slots(),
             state.batch_limit,
-            rate_step(state.layer_tokens_per_s),
+            rate_bucket(state.layer_tokens_per_s),
         );
-        let class = classes.entry(key).or_insert_with(|| Class {
+        let class = classes.entry(key).or_insert_with(|| EngineClass {
             layers,
             layer_tokens_per_s: state.layer_tokens_per_s,
             batch_limit: state.batch_limit,
@@ -83,27 +84,28 @@
 }
 
 fn id(table: &EndpointTable, engine: usize) -> Option<&str> {
-    table.all.get_index(engine).map(|(id, _)| id.as_str())
+    table.endpoints.get_index(engine).map(|(id, _)| id.as_str())
 }
 
-/// Rates within about a tenth of one another fall into one step, mostly.
-fn rate_step(layer_tokens_per_s: f64) -> u64 {
+/// Maps rates that differ by less than about 10 % to the same bucket in most cases.
+fn rate_bucket(layer_tokens_per_s: f64) -> u64 {
     (layer_tokens_per_s.max(1.0).ln() * 10.0).round() as u64
 }
 
-/// Kinds of chains that cover all layers, fewest stages first. A stage is left only where its
-/// layers end or where those of the next begin; no class is used twice.
-pub(crate) fn chain_kinds(classes: &[Class], layers: u16) -> Vec<ChainKind> {
+/// Enumerates the kinds of chains that cover all layers, those with the fewest stages first. A
+/// stage ends only where its class's layers end or where those of another class begin; no class is
+/// used twice.
+pub(crate) fn chain_kinds(classes: &[EngineClass], layers: u16) -> Vec<ChainKind> {
     let mut kinds = Vec::new();
     let mut shortest = None;
-    for stages in 1..=MOST_STAGES.min(classes.len()) {
+    for stages in 1..=MAX_STAGES.min(classes.len()) {
         let before = kinds.len();
         extend(classes, layers, stages, &mut Vec::new(), &mut kinds);
         if kinds.len() > before && shortest.is_none() {
             shortest = Some(stages);
         }
-        let long_enough = shortest.is_some_and(|shortest| stages >= shortest + MORE_STAGES);
-        if kinds.len() >= MOST_KINDS || long_enough {
+        let long_enough = shortest.is_some_and(|shortest| stages >= shortest + MAX_EXTRA_STAGES);
+        if kinds.len() >= MAX_KINDS || long_enough {
             break;
         }
     }
@@ -111,7 +113,7 @@
 }
 
 fn extend(
-    classes: &[Class],
+    classes: &[EngineClass],
     layers: u16,
     stages_left: usize,
     chain: &mut ChainKind,
@@ -122,7 +124,7 @@
         kinds.push(chain.clone());
         return;
     }
-    if stages_left == 0 || at == layers || kinds.len() >= MOST_KINDS {
+    if stages_left == 0 || at == layers || kinds.len() >= MAX_KINDS {
         return;
     }
     for (number, class) in classes.iter().enumerate() {
@@ -130,7 +132,7 @@
         if !holds || chain.iter().any(|(used, _)| *used == number) {
             continue;
         }
-        for end in ends(classes, class, at, chain) {
+        for end in possible_ends(classes, class, at, chain) {
             chain.push((number, LayerRange { first: at, end }));
             extend(classes, layers, stages_left - 1, chain, kinds);
             chain.pop();
@@ -138,9 +140,14 @@
     }
 }
 
-/// Layers at which a run from `at` may end.
-fn ends(classes: &[Class], class: &Class, at: u16, chain: &ChainKind) -> Vec<u16> {
-    // A run that begins inside its class's layers must be there because the run before had to end.
+/// Returns the layers at which a run that starts at `at` may end.
+fn possible_ends(
+    classes: &[EngineClass],
+    class: &EngineClass,
+    at: u16,
+    chain: &ChainKind,
+) -> Vec<u16> {
+    // A run may start inside its class's layers only where the previous class's layers end.
     let begins_inside = class.layers.first < at;
     let before_ended = chain
         .last()
--- a/src/routing/endpoints.rs
+++ b/src/routing/endpoints.rs
@@ -1,4 +1,4 @@
-//! What is known of each endpoint, and whether it takes new work.
+//! State of each endpoint, and whether it accepts new work.
 
 use std::net::SocketAddr;
 
@@ -9,91 +9,92 @@
 use crate::wire::local::EndpointRecord;
 use crate::wire::platform::{InstancePhase, InstanceRole};
 
-use super::affinity::HintWorth;
-use super::calls::CallLimit;
-use super::gaps::GapHistory;
-use super::limits::SlotLimit;
+use super::affinity::HintBenefit;
+use super::call_limit::CallLimit;
+use super::gap_history::GapHistory;
+use super::slot_limit::SlotLimit;
 
 /// How an endpoint failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EndpointFault {
-    /// No connection could be made, or a stage said that it could not reach it.
+    /// No connection could be established, or a stage reported that it could not reach the
+    /// endpoint.
     Unreachable,
-    /// It was reached, but its answers stopped.
+    /// The endpoint was reached but stopped responding.
     Silent,
-    /// It answers, but far slower than its own history.
+    /// The endpoint responds, but much more slowly than its history suggests.
     Slow,
-    /// It refused work: its queue is full or it does not hold what was asked.
+    /// The endpoint refused work because its queue is full or it does not hold what was requested.
     Refused,
-    /// It said that it takes no new work.
+    /// The endpoint reported that it accepts no new work.
     Draining,
 }
 
-/// First time an endpoint is avoided after a fault.
-pub(crate) const BACKOFF_FIRST_MS: u64 = 500;
-/// Longest time an endpoint is avoided after a fault.
-pub(crate) const BACKOFF_LAST_MS: u64 = 16_000;
-/// How long an endpoint that refused work gets nothing more.
-pub(crate) const REFUSED_MS: u64 = 100;
-/// Longest time between two questions for the state of an engine under suspicion: a new
-/// incarnation in its place is trusted at once.
-const SUSPECT_POLL_MS: u64 = 250;
-/// How long a word that it drains outweighs a state that says otherwise, which may be older.
-const DRAINING_HOLDS_MS: u64 = 2_000;
-/// Unanswered polls in a row that make a fault.
-const MISSES_OF_FAULT: u32 = 2;
-/// Tokens in a row after which old faults are forgotten.
-const TOKENS_OF_TRUST: u32 = 16;
-/// Relative change of a rate below which nothing is worked out again.
-const SAME_RATE_WITHIN: f64 = 0.1;
-/// Relative change of a link below which nothing is worked out again.
-const SAME_LINK_WITHIN: f64 = 0.3;
+/// Backoff after the first fault.
+pub(crate) const MIN_BACKOFF_MS: u64 = 500;
+/// Maximum backoff after repeated faults.
+pub(crate) const MAX_BACKOFF_MS: u64 = 16_000;
+/// How long an endpoint that refused work receives no more.
+pub(crate) const REFUSAL_BACKOFF_MS: u64 = 100;
+/// Maximum interval between state polls of a suspected engine. It is short because a new
+/// incarnation at the same address is trusted immediately.
+const SUSPECT_POLL_INTERVAL_MS: u64 = 250;
+/// How long an announcement that the endpoint is draining takes precedence over a state that says
+/// otherwise, since that state may be older.
+const DRAINING_TTL_MS: u64 = 2_000;
+/// Consecutive unanswered polls that count as a fault.
+const MISSES_BEFORE_FAULT: u32 = 2;
+/// Consecutive tokens after which earlier faults are cleared.
+const TOKENS_TO_RECOVER: u32 = 16;
+/// Relative change of a rate below which routes are not recomputed.
+const RATE_TOLERANCE: f64 = 0.1;
+/// Relative change of a link below which routes are not recomputed.
+const LINK_TOLERANCE: f64 = 0.3;
 
-/// Whether an endpoint is trusted, and if not, until when it is avoided.
+/// Recent faults of an endpoint, and until when it is avoided.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Trust {
-    /// Faults in a row; 0 when it is trusted.
+pub(crate) struct Health {
+    /// Consecutive faults; 0 if the endpoint is healthy.
     pub(crate) faults: u32,
-    /// Avoided before this time.
+    /// The endpoint is avoided until this time.
     pub(crate) avoid_until_ms: u64,
-    /// Whether it must answer a poll before it gets work again.
-    pub(crate) must_answer: bool,
-    /// Whether its last fault leaves it able to hand over KV state.
-    pub(crate) answers: bool,
-    misses: u32,
+    /// Whether the endpoint must answer a poll before it receives work again.
+    pub(crate) requires_answer: bool,
+    /// Whether the endpoint can still export KV state after its last fault.
+    pub(crate) still_answers: bool,
+    missed_polls: u32,
     tokens: u32,
 }
 
-/// An endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) id: EndpointId,
-    /// Number of this endpoint; never used for another one.
+    /// Unique number of the endpoint; never reused.
     pub(crate) number: u32,
     pub(crate) role: InstanceRole,
     pub(crate) service: ServiceName,
     pub(crate) zone: ZoneName,
     pub(crate) address: SocketAddr,
     pub(crate) leaving: bool,
-    /// What the engine last said; `None` until it has said anything in this incarnation.
+    /// Last reported engine state; `None` until this incarnation has reported one.
     pub(crate) state: Option<EngineState>,
-    /// Streams or calls of this entry.
+    /// Streams or calls of this entry in progress.
     pub(crate) outstanding: u32,
-    /// Limit of streams, for engines.
-    pub(crate) limit: SlotLimit,
-    /// Limit of calls, for replicas of applications.
-    pub(crate) calls: CallLimit,
+    /// Limit on streams, for engines.
+    pub(crate) slot_limit: SlotLimit,
+    /// Limit on calls, for application replicas.
+    pub(crate) call_limit: CallLimit,
     pub(crate) gaps: GapHistory,
-    pub(crate) trust: Trust,
-    pub(crate) hints: HintWorth,
-    /// Gets nothing more before this time, since it refused work.
+    pub(crate) health: Health,
+    pub(crate) hint_benefit: HintBenefit,
+    /// Receives no work until this time because it refused some.
     pub(crate) refused_until_ms: u64,
     pub(crate) last_turn: u64,
-    /// When it said that it drains, by a refusal or in its state.
+    /// When the endpoint reported that it is draining, by a refusal or in its state.
     pub(crate) draining_since_ms: Option<u64>,
     pub(crate) poll_state_at_ms: u64,
     pub(crate) poll_cache_at_ms: u64,
-    /// Last cache event seen.
+    /// Sequence number of the last cache event received.
     pub(crate) cache_after: u64,
 }
 
@@ -109,11 +110,11 @@
             leaving: record.phase == InstancePhase::Leaving,
             state: None,
             outstanding: 0,
-            limit: SlotLimit::default(),
-            calls: CallLimit::default(),
+            slot_limit: SlotLimit::default(),
+            call_limit: CallLimit::default(),
             gaps: GapHistory::default(),
-            trust: Trust::default(),
-            hints: HintWorth::default(),
+            health: Health::default(),
+            hint_benefit: HintBenefit::default(),
             refused_until_ms: 0,
             last_turn: 0,
             draining_since_ms: None,
@@ -123,91 +124,96 @@
         }
     }
 
-    /// Whether new work may go to it.
-    pub(crate) fn takes_work(&self, now_ms: u64) -> bool {
+    /// Whether new work may be sent to the endpoint.
+    pub(crate) fn accepts_work(&self, now_ms: u64) -> bool {
         !self.leaving
             && self.draining_since_ms.is_none()
-            && !self.trust.must_answer
-            && now_ms >= self.trust.avoid_until_ms
+            && !self.health.requires_answer
+            && now_ms >= self.health.avoid_until_ms
     }
 
-    /// Whether it has room for one more stream or call of this entry.
-    pub(crate) fn has_room(&self, now_ms: u64) -> bool {
+    /// Whether the endpoint has a free slot for one more stream or call of this entry.
+    pub(crate) fn has_free_slot(&self, now_ms: u64) -> bool {
         now_ms >= self.refused_until_ms && self.outstanding < self.slots()
     }
 
-    /// Streams or calls of this entry that may be there.
+    /// Maximum number of concurrent streams or calls of this entry.
     pub(crate) fn slots(&self) -> u32 {
         match self.role {
-            InstanceRole::Application => self.calls.calls(),
-            InstanceRole::Engine | InstanceRole::Entry => self.limit.slots(),
+            InstanceRole::Application => self.call_limit.max_calls(),
+            InstanceRole::Engine | InstanceRole::Entry => self.slot_limit.slots(),
         }
     }
 
-    /// Whether it can still hand over the KV state of streams that ran on it.
+    /// Whether the endpoint can still export the KV state of streams that ran on it.
     pub(crate) fn can_export(&self) -> bool {
         let stays_reachable = self.leaving || self.draining_since_ms.is_some();
-        stays_reachable && (self.trust.faults == 0 || self.trust.answers)
+        stays_reachable && (self.health.faults == 0 || self.health.still_answers)
     }
 
-    /// Forgets what was learnt of an earlier process at this address.
-    fn forget_incarnation(&mut self) {
+    /// Discards what was learned about the previous process at this address.
+    fn reset_learned_state(&mut self) {
         self.state = None;
         self.gaps = GapHistory::default();
-        self.limit = SlotLimit::default();
-        self.trust = Trust::default();
-        self.hints = HintWorth::default();
+        self.slot_limit = SlotLimit::default();
+        self.health = Health::default();
+        self.hint_benefit = HintBenefit::default();
         self.refused_until_ms = 0;
         self.draining_since_ms = None;
         self.cache_after = 0;
     }
 
-    fn fault(&mut self, fault: EndpointFault, now_ms: u64) {
+    fn record_fault(&mut self, fault: EndpointFault, now_ms: u64) {
         match fault {
             EndpointFault::Draining => self.draining_since_ms = Some(now_ms),
             EndpointFault::Refused => {
-                self.limit.refused();
-                self.calls.refused();
-                self.refused_until_ms = now_ms + REFUSED_MS;
+                self.slot_limit.record_refusal();
+                self.call_limit.record_refusal();
+                self.refused_until_ms = now_ms + REFUSAL_BACKOFF_MS;
             }
             EndpointFault::Unreachable | EndpointFault::Silent | EndpointFault::Slow => {
                 // Only engines are polled.
                 let is_polled = self.role == InstanceRole::Engine;
-                self.trust.suspect(fault, is_polled, now_ms);
-                self.poll_state_at_ms = self.trust.avoid_until_ms.min(now_ms + SUSPECT_POLL_MS);
+                self.health.record_failure(fault, is_polled, now_ms);
+                self.poll_state_at_ms = self
+                    .health
+                    .avoid_until_ms
+                    .min(now_ms + SUSPECT_POLL_INTERVAL_MS);
             }
         }
     }
 }
 
-impl Trust {
-    fn suspect(&mut self, fault: EndpointFault, is_polled: bool, now_ms: u64) {
-        // Several streams report the same fault; only the first within its time counts.
+impl Health {
+    fn record_failure(&mut self, fault: EndpointFault, is_polled: bool, now_ms: u64) {
+        // Several streams may report the same fault; only the first report in each backoff period
+        // counts.
         if now_ms >= self.avoid_until_ms || self.faults == 0 {
             self.faults += 1;
-            let backoff_ms = BACKOFF_FIRST_MS << (self.faults - 1).min(8);
-            self.avoid_until_ms = now_ms + backoff_ms.min(BACKOFF_LAST_MS);
+            let backoff_ms = MIN_BACKOFF_MS << (self.faults - 1).min(8);
+            self.avoid_until_ms = now_ms + backoff_ms.min(MAX_BACKOFF_MS);
         }
         self.tokens = 0;
-        self.answers = fault == EndpointFault::Slow;
-        self.must_answer |= is_polled && fault != EndpointFault::Slow;
+        self.still_answers = fault == EndpointFault::Slow;
+        self.requires_answer |= is_polled && fault != EndpointFault::Slow;
     }
 
-    /// Notes an answer to a poll.
-    fn answered(&mut self, now_ms: u64) {
-        self.misses = 0;
+    /// Records an answer to a poll.
+    fn record_answer(&mut self, now_ms: u64) {
+        self.missed_polls = 0;
         if now_ms >= self.avoid_until_ms {
-            self.must_answer = false;
+            self.requires_answer = false;
         }
     }
 
-    /// Notes a token that ran through the endpoint; returns whether it is trusted anew.
-    pub(crate) fn token(&mut self, now_ms: u64) -> bool {
+    /// Records a token that the endpoint helped to generate. Returns whether the endpoint has just
+    /// become healthy again.
+    pub(crate) fn record_token(&mut self, now_ms: u64) -> bool {
         if self.faults == 0 || now_ms < self.avoid_until_ms {
             return false;
         }
         self.tokens += 1;
-        if self.tokens < TOKENS_OF_TRUST {
+        if self.tokens < TOKENS_TO_RECOVER {
             return false;
         }
         *self = Self::default();
@@ -215,42 +221,42 @@
     }
 }
 
-/// Every endpoint, in the order of the list; indices hold until the list changes.
+/// All endpoints, in the order of the list. Indices are valid until the list changes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointTable {
-    pub(crate) all: IndexMap<EndpointId, Endpoint>,
+    pub(crate) endpoints: IndexMap<EndpointId, Endpoint>,
     next_number: u32,
 }
 
-/// Whether anything changed that chains or the flow depend on.
+/// What changed that chains or the flow depend on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// Nothing.
+    /// Nothing changed.
     None,
-    /// Whether an endpoint takes work, its rate or its links: routes still hold but are not the
-    /// best.
-    Trust,
-    /// The list, or what an engine holds: routes hold no more.
+    /// An endpoint's availability, rate or links. Routes remain valid but may no longer be optimal.
+    Availability,
+    /// The list, or what an engine holds. Routes are no longer valid.
     Structure,
-    /// The process behind the address is another one; structure changed too.
+    /// The process at the address was replaced. This implies [`Self::Structure`].
     Incarnation,
 }
 
 impl EndpointTable {
-    /// Takes the whole list; what was learnt of an endpoint stays while its address does.
+    /// Replaces the list. What was learned about an endpoint is kept if its address and role are
+    /// unchanged.
     pub(crate) fn replace(&mut self, records: &[EndpointRecord]) -> Change {
-        let same = self.all.len() == records.len()
+        let same = self.endpoints.len() == records.len()
             && self
-                .all
+                .endpoints
                 .values()
                 .zip(records)
-                .all(|(known, record)| describes(record, known));
+                .all(|(known, record)| matches_record(record, known));
         if same {
             return Change::None;
         }
-        let mut all = IndexMap::with_capacity(records.len());
+        let mut endpoints = IndexMap::with_capacity(records.len());
         for record in records {
-            let old = self.all.swap_remove(&record.endpoint);
+            let old = self.endpoints.swap_remove(&record.endpoint);
             let endpoint = match old {
                 Some(old) if old.address == record.address && old.role == record.role => Endpoint {
                     service: record.service.clone(),
@@ -263,59 +269,64 @@
                     Endpoint::new(record, self.next_number)
                 }
             };
-            all.insert(record.endpoint.clone(), endpoint);
+            endpoints.insert(record.endpoint.clone(), endpoint);
         }
-        self.all = all;
+        self.endpoints = endpoints;
         Change::Structure
     }
 
-    /// Notes a fault and how long the endpoint is avoided for it.
-    pub(crate) fn fault(&mut self, id: &EndpointId, fault: EndpointFault, now_ms: u64) -> Change {
-        let Some(endpoint) = self.all.get_mut(id) else {
+    /// Records a fault and backs off from the endpoint.
+    pub(crate) fn record_fault(
+        &mut self,
+        id: &EndpointId,
+        fault: EndpointFault,
+        now_ms: u64,
+    ) -> Change {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
             return Change::None;
         };
-        let before = endpoint.takes_work(now_ms);
-        endpoint.fault(fault, now_ms);
-        if before != endpoint.takes_work(now_ms) {
-            Change::Trust
+        let before = endpoint.accepts_work(now_ms);
+        endpoint.record_fault(fault, now_ms);
+        if before != endpoint.accepts_work(now_ms) {
+            Change::Availability
         } else {
             Change::None
         }
     }
 
-    /// Takes what an engine says of itself; `None` if it did not answer.
+    /// Records the state reported by an engine; `None` if it did not answer.
     pub(crate) fn set_state(
         &mut self,
         id: &EndpointId,
         state: Option<&EngineState>,
         now_ms: u64,
     ) -> Change {
-        let Some(endpoint) = self.all.get_mut(id) else {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
             return Change::None;
         };
         let Some(state) = state else {
-            endpoint.trust.misses += 1;
-            endpoint.poll_state_at_ms = endpoint.poll_state_at_ms.min(now_ms + REFUSED_MS);
-            if endpoint.trust.misses < MISSES_OF_FAULT {
+            endpoint.health.missed_polls += 1;
+            endpoint.poll_state_at_ms = endpoint.poll_state_at_ms.min(now_ms + REFUSAL_BACKOFF_MS);
+            if endpoint.health.missed_polls < MISSES_BEFORE_FAULT {
                 return Change::None;
             }
-            return self.fault(id, EndpointFault::Unreachable, now_ms);
+            return self.record_fault(id, EndpointFault::Unreachable, now_ms);
         };
-        let takes_work = endpoint.takes_work(now_ms);
+        let accepts_work = endpoint.accepts_work(now_ms);
         let replaced = endpoint
             .state
             .as_ref()
             .is_some_and(|known| known.incarnation != state.incarnation);
         if replaced {
-            endpoint.forget_incarnation();
+            endpoint.reset_learned_state();
         }
-        endpoint.trust.answered(now_ms);
-        if now_ms < endpoint.trust.avoid_until_ms {
-            let backoff_ends_ms = endpoint.trust.avoid_until_ms;
+        endpoint.health.record_answer(now_ms);
+        if now_ms < endpoint.health.avoid_until_ms {
+            let backoff_ends_ms = endpoint.health.avoid_until_ms;
             endpoint.poll_state_at_ms = endpoint.poll_state_at_ms.min(backoff_ends_ms);
         }
         endpoint.draining_since_ms = match endpoint.draining_since_ms {
-            Some(since_ms) if now_ms < since_ms + DRAINING_HOLDS_MS => Some(since_ms),
+            Some(since_ms) if now_ms < since_ms + DRAINING_TTL_MS => Some(since_ms),
             _ => state.draining.then_some(now_ms),
         };
         let known = endpoint.state.replace(state.clone());
@@ -326,28 +337,39 @@
                 Change::Structure
             };
         };
-        if !holds_same(&known, state) {
+        if !holds_same_layers(&known, state) {
             return Change::Structure;
         }
-        let same = serves_alike(&known, state) && takes_work == endpoint.takes_work(now_ms);
-        if same { Change::None } else { Change::Trust }
+        let same = is_similar(&known, state) && accepts_work == endpoint.accepts_work(now_ms);
+        if same {
+            Change::None
+        } else {
+            Change::Availability
+        }
     }
 
-    /// Earliest time at which an endpoint takes work again by itself.
-    pub(crate) fn next_return_ms(&self, now_ms: u64) -> Option<u64> {
-        let returning = self.all.values().filter(|e| !e.trust.must_answer);
-        let ends = returning.map(|endpoint| endpoint.trust.avoid_until_ms);
+    /// Returns the earliest time at which a backoff ends for an endpoint that need not answer a
+    /// poll first.
+    pub(crate) fn next_backoff_end_ms(&self, now_ms: u64) -> Option<u64> {
+        let returning = self
+            .endpoints
+            .values()
+            .filter(|e| !e.health.requires_answer);
+        let ends = returning.map(|endpoint| endpoint.health.avoid_until_ms);
         ends.filter(|at_ms| *at_ms > now_ms).min()
     }
 
-    /// Endpoints that said they drain.
+    /// Returns the endpoints that reported that they are draining.
     pub(crate) fn draining_endpoints(&self) -> Vec<EndpointId> {
-        let draining = self.all.values().filter(|e| e.draining_since_ms.is_some());
+        let draining = self
+            .endpoints
+            .values()
+            .filter(|e| e.draining_since_ms.is_some());
         draining.map(|endpoint| endpoint.id.clone()).collect()
     }
 }
 
-fn describes(record: &EndpointRecord, known: &Endpoint) -> bool {
+fn matches_record(record: &EndpointRecord, known: &Endpoint) -> bool {
     record.endpoint == known.id
         && record.role == known.role
         && record.service == known.service
@@ -356,37 +378,37 @@
         && (record.phase == InstancePhase::Leaving) == known.leaving
 }
 
-fn holds_same(one: &EngineState, other: &EngineState) -> bool {
+fn holds_same_layers(one: &EngineState, other: &EngineState) -> bool {
     one.model == other.model
         && one.version == other.version
         && one.adapters == other.adapters
         && one.layers == other.layers
 }
 
-/// Whether two states lead to almost the same flow.
-fn serves_alike(one: &EngineState, other: &EngineState) -> bool {
-    let all_alike = one.links.len() == other.links.len()
+/// Whether two states lead to nearly the same flow.
+fn is_similar(one: &EngineState, other: &EngineState) -> bool {
+    let are_all_links_similar = one.links.len() == other.links.len()
         && one.links.iter().all(|(to, link)| {
             let new = other.links.get(to);
-            new.is_some_and(|new| links_alike(link, new))
+            new.is_some_and(|new| are_links_similar(link, new))
         });
     one.draining == other.draining
         && one.batch_limit == other.batch_limit
         && one.slots() == other.slots()
-        && near(
+        && is_within(
             one.layer_tokens_per_s,
             other.layer_tokens_per_s,
-            SAME_RATE_WITHIN,
+            RATE_TOLERANCE,
         )
-        && all_alike
+        && are_all_links_similar
 }
 
-fn links_alike(one: &LinkState, other: &LinkState) -> bool {
+fn are_links_similar(one: &LinkState, other: &LinkState) -> bool {
     let (bytes, other_bytes) = (one.bandwidth_bytes_per_s, other.bandwidth_bytes_per_s);
-    near(bytes as f64, other_bytes as f64, SAME_LINK_WITHIN)
-        && near(one.delay_us as f64, other.delay_us as f64, SAME_LINK_WITHIN)
+    is_within(bytes as f64, other_bytes as f64, LINK_TOLERANCE)
+        && is_within(one.delay_us as f64, other.delay_us as f64, LINK_TOLERANCE)
 }
 
-fn near(one: f64, other: f64, within: f64) -> bool {
+fn is_within(one: f64, other: f64, within: f64) -> bool {
     (one - other).abs() <= within * one.abs().max(other.abs())
 }
--- a/src/routing/estimate.rs
+++ b/src/routing/estimate.rs
@@ -1,26 +1,26 @@
-//! Throughput to expect of a set of lanes: approximate mean value analysis.
+//! Estimates the throughput of a set of lanes by approximate mean value analysis.
 //!
-//! Streams go round their lane for ever: a closed network in which each lane is a class, each
-//! engine a queue worked off in order of arrival, and links a delay. A step that arrives waits for
-//! those before it, of which the one being run has half of its time left.
+//! The streams form a closed queueing network: each lane is a class, each engine a FIFO queue, and
+//! each link a delay. A step that arrives at an engine waits for all steps ahead of it; the one in
+//! service has half of its time left on average.
 
-/// Rounds of the fixed point.
-const ROUNDS: usize = 30;
-/// Weight of a new round's queues.
+/// Iterations of the fixed point.
+const ITERATIONS: usize = 30;
+/// Weight of the new queue lengths in each iteration.
 const DAMPING: f64 = 0.5;
 
 /// A lane as a class of the closed network.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LaneLoad {
-    /// Streams on the lane; greater than 0.
+    /// Number of streams on the lane; greater than 0.
     pub(crate) streams: f64,
-    /// Time of a token's way not spent at engines' queues, in milliseconds.
+    /// Time per token that is not spent queueing at or being processed by engines, in milliseconds.
     pub(crate) delay_ms: f64,
-    /// Engines, and how long each is busy with one token.
+    /// Engines, and how long each is busy with one token, in milliseconds.
     pub(crate) steps: Vec<(usize, f64)>,
 }
 
-/// Tokens a second of each lane.
+/// Returns the tokens per second of each lane.
 pub(crate) fn tokens_per_s(lanes: &[LaneLoad], engines: usize) -> Vec<f64> {
     let mut queues: Vec<Vec<f64>> = lanes
         .iter()
@@ -28,7 +28,7 @@
         .collect();
     let mut rates = vec![0.0; lanes.len()];
     let mut waits = Vec::new();
-    for _ in 0..ROUNDS {
+    for _ in 0..ITERATIONS {
         let backlogs_ms = backlogs_ms(lanes, &queues, &rates, engines);
         for (number, lane) in lanes.iter().enumerate() {
             waits.clear();
@@ -48,7 +48,7 @@
     rates.iter().map(|per_ms| per_ms * 1e3).collect()
 }
 
-/// Work before a step that arrives at each engine.
+/// Returns the backlog that an arriving step finds at each engine, in milliseconds.
 fn backlogs_ms(lanes: &[LaneLoad], queues: &[Vec<f64>], rates: &[f64], engines: usize) -> Vec<f64> {
     let mut backlogs_ms = vec![0.0; engines];
     for ((lane, queues), rate) in lanes.iter().zip(queues).zip(rates) {
--- a/src/routing/flow.rs
+++ b/src/routing/flow.rs
@@ -1,46 +1,50 @@
-//! The bound on throughput: a maximum flow through the engines of one model.
+//! Upper bound on throughput: a maximum flow through the engines of one model.
 //!
-//! The layers are cut into segments that each holder holds whole. Every holder of a segment is a
-//! node whose capacity is a part of its engine's rate; a link to a holder of the next segment
-//! carries `bandwidth / activation` tokens a second, staying at the same engine any number.
+//! The layers are split into segments such that each holder holds its segments completely. Every
+//! holder of a segment is a node whose capacity is a share of its engine's rate. A link to a holder
+//! of the next segment carries `bandwidth / activation` tokens per second; staying on the same
+//! engine is unlimited.
 //!
 //! An engine that holds several segments must divide its rate among them. [`divide_rates`] does so
-//! exactly for unlimited links (a bisection over transport flows from engines to segments);
-//! [`grow`] then gives rate left idle where links bind to the segments of the same engine. Without
-//! overlap both are no-ops and the maximum flow is exact. With overlap and scarce links together
-//! a flow found so may be below the bound; networks that are not too large are then solved as a
-//! linear program over the flows of their links ([`by_program`]), which is exact again.
+//! exactly for unlimited links, by bisection over transport flows from engines to segments.
+//! [`reuse_idle_rate`] then gives the rate that limiting links leave idle to other segments of the
+//! same engine. Without overlap both have no effect and the maximum flow is exact. With both
+//! overlap and limiting links, the flow found this way may be below the bound; networks that are
+//! not too large are then solved as a linear program over the flows of their links
+//! ([`solve_linear_program`]), which is exact again.
 
 use petgraph::algo::dinics;
 use petgraph::graph::{DiGraph, NodeIndex};
 
-use super::simplex::{Column, maximise};
+use super::simplex::{Column, maximize};
 
-/// Capacities are integers of a thousandth of a token a second.
+/// Capacities are integers in thousandths of a token per second.
 const MILLI: f64 = 1_000.0;
-/// No capacity is above this, so that sums cannot overflow.
+/// Upper bound on capacities, so that sums cannot overflow.
 const UNLIMITED: u64 = 1 << 50;
 /// Steps of each bisection.
-const BISECTIONS: usize = 24;
-/// Links of the largest network that is solved as a linear program.
-const PROGRAM_LINKS: usize = 1_000;
-/// Rounds in which idle rate is moved.
-const GROW_ROUNDS: usize = 8;
-/// The engines of one model as a network. Engines are numbered from 0.
+const BISECTION_STEPS: usize = 24;
+/// Maximum number of links for which a network is solved as a linear program.
+const MAX_PROGRAM_LINKS: usize = 1_000;
+/// Maximum number of rounds in which idle rate is reassigned.
+const MAX_REUSE_ROUNDS: usize = 8;
+
+/// The engines of one model as a flow network. Engines are numbered from 0.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Network {
-    /// Layers in each segment; at least 1.
+    /// Number of layers in each segment; at least 1.
     pub(crate) segment_layers: Vec<f64>,
     /// Engines that hold each segment.
     pub(crate) holders: Vec<Vec<usize>>,
-    /// Rate of each engine, in layers times tokens a second.
+    /// Rate of each engine, in layers × tokens per second.
     pub(crate) rates: Vec<f64>,
-    /// Tokens a second from each holder before to each behind, row by row, for each cut between two
-    /// segments; infinite within an engine.
+    /// For each pair of consecutive segments, the tokens per second from each holder of the first
+    /// to each holder of the second, in row-major order; infinite within an engine.
     pub(crate) links: Vec<Vec<f64>>,
 }
 
-/// Most tokens a second that the network carries; 0 if some segment has no holder.
+/// Returns the maximum number of tokens per second that the network carries; 0 if a segment has no
+/// holder.
 pub(crate) fn solve(network: &Network) -> f64 {
     if network.holders.is_empty() {
         return 0.0;
@@ -50,19 +54,19 @@
     if !network.overlaps() {
         return routed.tokens_per_s;
     }
-    let grown = grow(network, routed).tokens_per_s;
+    let improved = reuse_idle_rate(network, routed).tokens_per_s;
     let links: usize = network.links.iter().map(Vec::len).sum();
     let sums = capacities.iter().map(|holders| holders.iter().sum());
     let without_links = sums.fold(f64::INFINITY, f64::min);
-    if grown >= without_links * (1.0 - 1e-6) || links > PROGRAM_LINKS {
-        return grown;
+    if improved >= without_links * (1.0 - 1e-6) || links > MAX_PROGRAM_LINKS {
+        return improved;
     }
-    grown.max(by_program(network))
+    improved.max(solve_linear_program(network))
 }
 
-/// The flow as a linear program: a variable for each way into a holder, limited by what comes into
-/// the holder before, by the engine's rate and by the link.
-fn by_program(network: &Network) -> f64 {
+/// Solves the flow as a linear program with one variable for each link into a holder, constrained
+/// by the flow into the previous holder, by the engine's rate and by the link's capacity.
+fn solve_linear_program(network: &Network) -> f64 {
     let mut limits = network.rates.clone();
     let mut node_rows = Vec::with_capacity(network.holders.len());
     for holders in &network.holders {
@@ -93,7 +97,7 @@
             columns.push(Column { gain, uses });
         }
     }
-    let flows = maximise(&columns, &limits);
+    let flows = maximize(&columns, &limits);
     columns
         .iter()
         .zip(flows)
@@ -116,15 +120,15 @@
     }
 }
 
-/// A flow of whatever shape the solver found.
+/// A maximum flow found by the solver, which need not be unique.
 #[derive(Clone, Debug)]
-struct Routed {
+struct Flow {
     tokens_per_s: f64,
     nodes: Vec<Vec<f64>>,
 }
 
-/// Divides each engine's rate among its segments so that the weakest segment is as strong as
-/// possible; returns tokens a second for each holder of each segment.
+/// Divides each engine's rate among its segments so that the capacity of the weakest segment is
+/// maximal. Returns tokens per second for each holder of each segment.
 fn divide_rates(network: &Network) -> Vec<Vec<f64>> {
     if !network.overlaps() {
         return holder_map(network, |segment, engine| {
@@ -135,9 +139,9 @@
     let mut low = 0.0;
     let mut high = network.rates.iter().sum::<f64>() / layers;
     let mut best = holder_map(network, |_, _| 0.0);
-    for _ in 0..BISECTIONS {
+    for _ in 0..BISECTION_STEPS {
         let target = (low + high) / 2.0;
-        match supply(network, target) {
+        match find_allocation(network, target) {
             Some(found) => {
                 best = found;
                 low = target;
@@ -148,20 +152,20 @@
     best
 }
 
-/// Finds parts of the engines' rates that give every segment `target` tokens a second.
-fn supply(network: &Network, target: f64) -> Option<Vec<Vec<f64>>> {
+/// Finds a division of the engines' rates that gives every segment `target` tokens per second.
+fn find_allocation(network: &Network, target: f64) -> Option<Vec<Vec<f64>>> {
     let mut graph = DiGraph::<(), u64>::new();
     let source = graph.add_node(());
     let sink = graph.add_node(());
     let engines: Vec<NodeIndex> = network.rates.iter().map(|_| graph.add_node(())).collect();
     for (engine, rate) in network.rates.iter().enumerate() {
-        graph.add_edge(source, engines[engine], milli(*rate));
+        graph.add_edge(source, engines[engine], to_capacity(*rate));
     }
     let mut wanted = 0;
     let mut first_edges = Vec::with_capacity(network.holders.len());
     for (segment, holders) in network.holders.iter().enumerate() {
         let node = graph.add_node(());
-        let need = milli(target * network.segment_layers[segment]);
+        let need = to_capacity(target * network.segment_layers[segment]);
         wanted += need;
         graph.add_edge(node, sink, need);
         first_edges.push(graph.edge_count());
@@ -179,8 +183,8 @@
     Some(position_map(network, tokens))
 }
 
-/// Maximum flow from the first to the last segment under capacities of the holders.
-fn route(network: &Network, capacities: &[Vec<f64>]) -> Routed {
+/// Returns the maximum flow from the first to the last segment under the capacities of the holders.
+fn route(network: &Network, capacities: &[Vec<f64>]) -> Flow {
     let mut graph = DiGraph::<(), u64>::new();
     let source = graph.add_node(());
     let sink = graph.add_node(());
@@ -191,7 +195,7 @@
         let outward: Vec<NodeIndex> = holders.iter().map(|_| graph.add_node(())).collect();
         node_edges.push(graph.edge_count());
         for (position, capacity) in holders.iter().enumerate() {
-            graph.add_edge(inward[position], outward[position], milli(*capacity));
+            graph.add_edge(inward[position], outward[position], to_capacity(*capacity));
         }
         if segment == 0 {
             for node in &inward {
@@ -201,7 +205,7 @@
             for (number, link) in network.links[segment - 1].iter().enumerate() {
                 let from = before[number / inward.len()];
                 let to = inward[number % inward.len()];
-                graph.add_edge(from, to, milli(*link));
+                graph.add_edge(from, to, to_capacity(*link));
             }
         }
         before = outward;
@@ -210,7 +214,7 @@
         graph.add_edge(*node, sink, UNLIMITED);
     }
     let (value, flows) = dinics(&graph, source, sink);
-    Routed {
+    Flow {
         tokens_per_s: value as f64 / MILLI,
         nodes: position_map(network, |segment, position| {
             flows[node_edges[segment] + position] as f64 / MILLI
@@ -218,9 +222,9 @@
     }
 }
 
-/// Gives the idle rate of each engine to all its segments, while that raises the flow.
-fn grow(network: &Network, mut routed: Routed) -> Routed {
-    for _ in 0..GROW_ROUNDS {
+/// Offers the idle rate of each engine to all its segments, for as long as that increases the flow.
+fn reuse_idle_rate(network: &Network, mut routed: Flow) -> Flow {
+    for _ in 0..MAX_REUSE_ROUNDS {
         let next = route(network, &with_idle_rate(network, &routed.nodes));
         if next.tokens_per_s <= routed.tokens_per_s * (1.0 + 1e-6) {
             break;
@@ -266,6 +270,6 @@
         .collect()
 }
 
-fn milli(tokens_per_s: f64) -> u64 {
+fn to_capacity(tokens_per_s: f64) -> u64 {
     (tokens_per_s * MILLI).clamp(0.0, UNLIMITED as f64) as u64
 }
--- a/src/routing/graph.rs
+++ b/src/routing/graph.rs
@@ -1,4 +1,4 @@
-//! The layers of a model cut into segments, and the engines that hold each.
+//! Splits the layers of a model into segments and finds the engines that hold each.
 
 use crate::document::ModelOffer;
 use crate::ids::ServiceName;
@@ -6,23 +6,24 @@
 
 use super::endpoints::{Endpoint, EndpointTable};
 
-/// The segments of one model; no engine holds a part of a segment.
+/// The segments of one model. No engine holds only a part of a segment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Graph {
-    /// Segments in layer order; empty if some layer is held by nobody.
+    /// Segments in layer order; empty if some layer has no holder.
     pub(crate) segments: Vec<Segment>,
 }
 
-/// Layers that every holder holds whole.
+/// A range of layers that each of its holders holds completely.
 #[derive(Clone, Debug)]
 pub(crate) struct Segment {
     pub(crate) layers: LayerRange,
-    /// Indices of engines in the endpoint table.
+    /// Indices of the engines in the endpoint table.
     pub(crate) holders: Vec<usize>,
 }
 
 impl Graph {
-    /// Cuts the layers of `model` where a holder's range, or one of `cuts`, begins or ends.
+    /// Splits the layers of `model` wherever a holder's range begins or ends, and at each of
+    /// `cuts`.
     pub(crate) fn build(
         table: &EndpointTable,
         service: &ServiceName,
@@ -31,7 +32,7 @@
         cuts: &[u16],
     ) -> Self {
         let holders: Vec<(usize, LayerRange)> = table
-            .all
+            .endpoints
             .values()
             .enumerate()
             .filter_map(|(index, endpoint)| {
@@ -77,7 +78,8 @@
     }
 }
 
-/// The layers an engine holds of a model, within the model; `None` if it holds none.
+/// Returns the layers of a model that an engine holds, clipped to the model; `None` if it holds
+/// none.
 fn held_layers(
     endpoint: &Endpoint,
     service: &ServiceName,
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,35 +1,35 @@
-//! Routing: which engines run a stream, and which replica takes an application call.
+//! Routing: selects the engines that run a stream and the replica that takes an application call.
 //!
-//! [`Router`] is fed with what is known (endpoints, engine states, cache events, tokens, faults)
-//! and asked for chains. It does no I/O; time and the seed of its draws are arguments.
+//! [`Router`] is given the known state (endpoints, engine states, cache events, tokens, faults) and
+//! returns chains. It does no I/O; the time and the random seed are passed in.
 
 mod affinity;
 mod applications;
 mod assembly;
 mod bound;
-mod calls;
+mod call_limit;
 mod chain;
 mod classes;
-mod deal;
 mod endpoints;
 mod estimate;
 mod flow;
-mod gaps;
+mod gap_history;
 mod graph;
 mod lanes;
-mod limits;
 mod links;
-mod observing;
+mod observations;
 mod planning;
 mod policy;
 mod polls;
 mod program;
 mod rebuild;
+mod route_updates;
 mod router;
 mod routes;
 mod simplex;
+mod slot_allocation;
+mod slot_limit;
 mod streams;
-mod upkeep;
 
 pub use endpoints::EndpointFault;
 pub use policy::{
--- a/src/routing/observing.rs
+++ b/src/routing/observations.rs
@@ -1,4 +1,4 @@
-//! What is learnt from streams: the engines' times, the worth of hints, and faults.
+//! Learning from streams: engine latencies, the benefit of cache hints, and faults.
 
 use crate::ids::{EndpointId, StreamId};
 use crate::wire::engine::Stage;
@@ -11,20 +11,20 @@
 where
     P: Policy,
 {
-    /// Takes the time between two tokens of a stream, or from dispatch to its first token.
+    /// Records the time between two tokens of a stream, or from dispatch to its first token.
     pub fn observe_token(&mut self, stream: StreamId, gap_ms: u64, now_ms: u64) {
         let Some(held) = self.reservations.streams.get_mut(&stream) else {
             return;
         };
         held.tokens += 1;
         if held.tokens == 1 {
-            self.learn_first_token(stream, gap_ms, now_ms);
+            self.record_first_token(stream, gap_ms, now_ms);
             return;
         }
         let slots = &held.stages;
         let expected_ms: f64 = slots
             .iter()
-            .filter_map(|slot| self.table.all.get(&slot.endpoint))
+            .filter_map(|slot| self.table.endpoints.get(&slot.endpoint))
             .zip(slots)
             .map(|(endpoint, slot)| stage_ms(endpoint, slot.layers.len()))
             .sum();
@@ -32,20 +32,20 @@
             return;
         }
         let ratio = gap_ms as f64 / expected_ms;
-        let mut trusted_again = false;
+        let mut has_recovered = false;
         for slot in slots {
-            if let Some(endpoint) = self.table.all.get_mut(&slot.endpoint) {
+            if let Some(endpoint) = self.table.endpoints.get_mut(&slot.endpoint) {
                 let prior_ms = prior_layer_ms(endpoint);
-                endpoint.gaps.learn(ratio, prior_ms);
-                trusted_again |= endpoint.trust.token(now_ms);
+                endpoint.gaps.record(ratio, prior_ms);
+                has_recovered |= endpoint.health.record_token(now_ms);
             }
         }
-        if trusted_again {
+        if has_recovered {
             self.changed_at_ms = None;
         }
     }
 
-    fn learn_first_token(&mut self, stream: StreamId, gap_ms: u64, now_ms: u64) {
+    fn record_first_token(&mut self, stream: StreamId, gap_ms: u64, now_ms: u64) {
         let Some(held) = self.reservations.streams.get(&stream) else {
             return;
         };
@@ -56,31 +56,35 @@
         let first = held
             .stages
             .first()
-            .and_then(|slot| self.table.all.get_mut(&slot.endpoint));
+            .and_then(|slot| self.table.endpoints.get_mut(&slot.endpoint));
         if let Some(endpoint) = first {
-            endpoint.hints.learn(held.hinted, ms_per_token, now_ms);
+            endpoint
+                .hint_benefit
+                .record(held.hinted, ms_per_token, now_ms);
         }
         for slot in &held.stages {
-            self.hints.store(block, slot.number, now_ms);
+            self.hints.add(block, slot.number, now_ms);
         }
     }
 
-    /// Notes that an endpoint failed; it is avoided for a time that grows with each fault.
+    /// Records that an endpoint failed. It is avoided for a time that grows with each consecutive
+    /// fault.
     pub fn observe_fault(&mut self, endpoint: &EndpointId, fault: EndpointFault, now_ms: u64) {
-        let change = self.table.fault(endpoint, fault, now_ms);
-        self.changed(change);
+        let change = self.table.record_fault(endpoint, fault, now_ms);
+        self.apply_change(change);
     }
 
-    /// Time between two tokens to expect of a chain, from its engines' own history, in
-    /// milliseconds.
+    /// Returns the expected inter-token gap of a chain in milliseconds, based on the history of its
+    /// engines.
     pub fn expected_gap_ms(&self, chain: &[Stage]) -> f64 {
         self.stage_ms(chain).iter().sum()
     }
 
-    /// Mean deviation of the gaps of a chain from what is expected, in milliseconds.
+    /// Returns the mean deviation of the inter-token gap of a chain from the expected gap, in
+    /// milliseconds.
     pub fn gap_deviation_ms(&self, chain: &[Stage]) -> f64 {
         let deviation = |stage: &Stage| {
-            let endpoint = self.table.all.get(&stage.endpoint);
+            let endpoint = self.table.endpoints.get(&stage.endpoint);
             endpoint.map_or(1.0, |endpoint| endpoint.gaps.deviation())
         };
         let parts = self.stage_ms(chain);
@@ -93,7 +97,7 @@
 
     pub(super) fn stage_ms(&self, chain: &[Stage]) -> Vec<f64> {
         let time = |stage: &Stage| {
-            let endpoint = self.table.all.get(&stage.endpoint);
+            let endpoint = self.table.endpoints.get(&stage.endpoint);
             endpoint.map_or(0.0, |endpoint| stage_ms(endpoint, stage.layers.len()))
         };
         chain.iter().map(time).collect()
@@ -104,7 +108,7 @@
     endpoint.gaps.layer_ms(prior_layer_ms(endpoint)) * f64::from(layers)
 }
 
-/// Time for one layer of one token in a full batch, by what the engine says of itself.
+/// Time for one layer of one token in a full batch, according to the rate reported by the engine.
 fn prior_layer_ms(endpoint: &Endpoint) -> f64 {
     let state = endpoint.state.as_ref();
     state.map_or(0.0, |state| {
--- a/src/routing/planning.rs
+++ b/src/routing/planning.rs
@@ -1,11 +1,11 @@
-//! Plans: the chain of a new stream, or of one that lost a stage.
+//! Planning of chains for new streams and for streams that lost a stage.
 
 use rand::RngExt;
 
 use crate::wire::engine::Stage;
 
 use super::affinity::first_block;
-use super::chain::{Run, search};
+use super::chain::{LayerRun, search};
 use super::endpoints::Endpoint;
 use super::lanes::Lane;
 use super::policy::{Candidate, Policy};
@@ -13,44 +13,45 @@
 use super::router::{NoRoute, RouteRequest, Router};
 use super::streams::Reservation;
 
-/// Rank of a lane whose own slots are used up, above that of any other.
+/// Added to the rank of a lane whose owned slots are used up, so that it is ranked after all
+/// others.
 const LENT_RANK: f64 = 1e9;
-/// What a lane gains in rank if all its engines likely cache the prompt.
-const WARM_RANK: f64 = 1.0;
+/// Reduction in rank of a lane whose engines all probably cache the prompt.
+const CACHED_LANE_BONUS: f64 = 1.0;
 
 impl<P> Router<P>
 where
     P: Policy,
 {
-    /// Chooses a chain and keeps a slot on each of its engines under the stream. A second plan
-    /// for the same stream replaces the slots of the first, also when it finds no chain.
+    /// Chooses a chain and reserves a slot on each of its engines for the stream. Planning the same
+    /// stream again replaces its previous slots, even if no chain is found.
     ///
-    /// A stream that is rebuilt does not wait for slots: engines admit it before new ones.
-    pub fn plan(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
-        let before = self.reservations.release(&mut self.table, ask.stream);
+    /// A rebuilt stream does not wait for slots, because engines admit it before new streams.
+    pub fn plan(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
+        let before = self.reservations.release(&mut self.table, request.stream);
         let tokens_before = before.map_or(0, |held| held.tokens_before + held.tokens);
-        let stages = if ask.previous.is_empty() {
-            self.plan_new(ask, now_ms)?
+        let stages = if request.previous.is_empty() {
+            self.plan_new(request, now_ms)?
         } else {
-            self.plan_rebuilt(ask, tokens_before, now_ms)?
+            self.plan_rebuild(request, tokens_before, now_ms)?
         };
-        self.check(ask, &stages, now_ms);
-        self.reserve(ask, &stages, tokens_before, now_ms);
+        self.check_plan(request, &stages, now_ms);
+        self.reserve(request, &stages, tokens_before, now_ms);
         Ok(stages)
     }
 
-    fn plan_new(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
+    fn plan_new(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
         if self.policy.uses_lanes()
-            && let Some(runs) = self.choose_lane(ask, now_ms)
+            && let Some(runs) = self.choose_lane(request, now_ms)
         {
             return Ok(self.stages(&runs));
         }
-        if self.may_search(ask, now_ms)
-            && let Some(runs) = self.choose(ask, true, now_ms)
+        if self.may_search(request, now_ms)
+            && let Some(runs) = self.search_chain(request, true, now_ms)
         {
             return Ok(self.stages(&runs));
         }
-        let possible = self.choose(ask, false, now_ms).is_some();
+        let possible = self.search_chain(request, false, now_ms).is_some();
         Err(if possible {
             NoRoute::Full
         } else {
@@ -58,26 +59,26 @@
         })
     }
 
-    fn plan_rebuilt(
+    fn plan_rebuild(
         &mut self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         tokens_before: u32,
         now_ms: u64,
     ) -> Result<Vec<Stage>, NoRoute> {
-        let positions = tokens_before + count_tokens(ask.prompt);
-        let replaced = self.replace_lost(ask, true, now_ms);
-        let replaced = replaced.or_else(|| self.replace_lost(ask, false, now_ms));
-        let anew = self.choose(ask, true, now_ms);
-        let anew = match (&replaced, anew) {
-            (None, None) => self.choose(ask, false, now_ms),
-            (_, anew) => anew,
+        let positions = tokens_before + count_tokens(request.prompt);
+        let replaced = self.replace_lost(request, true, now_ms);
+        let replaced = replaced.or_else(|| self.replace_lost(request, false, now_ms));
+        let fresh = self.search_chain(request, true, now_ms);
+        let fresh = match (&replaced, fresh) {
+            (None, None) => self.search_chain(request, false, now_ms),
+            (_, fresh) => fresh,
         };
-        [replaced, anew]
+        [replaced, fresh]
             .into_iter()
             .flatten()
             .map(|runs| {
                 let mut stages = self.stages(&runs);
-                rebuild::mark(&self.table, ask, &mut stages);
+                rebuild::mark_recomputed(&self.table, request, &mut stages);
                 let cost_ms = rebuild::cost_ms(&stages, &self.stage_ms(&stages), positions);
                 (cost_ms, stages)
             })
@@ -86,25 +87,25 @@
             .ok_or(NoRoute::Incomplete)
     }
 
-    /// A lane with a slot of this entry's own, or one that is lent.
-    fn choose_lane(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> Option<Vec<Run>> {
-        let at = self.routes_for(ask.service, ask.model, ask.adapter, now_ms);
-        let cached = self.hints.holders(first_block(ask.prompt), now_ms);
+    /// Chooses a lane with a free slot, preferring slots that this entry owns to lent ones.
+    fn choose_lane(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> Option<Vec<LayerRun>> {
+        let at = self.routes_for(request.service, request.model, request.adapter, now_ms);
+        let cached = self.hints.holders(first_block(request.prompt), now_ms);
         let lanes = &self.routes[at].lanes;
         let rates = lanes.iter().map(|(_, lane)| lane.tokens_per_s);
         let mean_rate = rates.sum::<f64>() / lanes.len().max(1) as f64;
-        let own = self.own_slots.at(ask.service);
+        let own = self.own_slots.for_service(request.service);
         let mut best: Option<(f64, usize)> = None;
         for (number, (key, lane)) in self.routes[at].lanes.iter().enumerate() {
-            let Some(warm) = self.lane_warmth(ask, lane, &cached, now_ms) else {
+            let Some(cached_fraction) = self.cached_fraction(request, lane, &cached, now_ms) else {
                 continue;
             };
-            let used = f64::from(self.reservations.on_lane(*key));
+            let used = f64::from(self.reservations.count_on_lane(*key));
             let owned = f64::from(lane.owned(own));
             let draw: f64 = self.rng.random();
             let lent = if used < owned { 0.0 } else { LENT_RANK };
             let load = (used + draw) * mean_rate / lane.tokens_per_s.max(1e-6);
-            let rank = lent + load - WARM_RANK * warm;
+            let rank = lent + load - CACHED_LANE_BONUS * cached_fraction;
             if best.is_none_or(|(least, _)| rank < least) {
                 best = Some((rank, number));
             }
@@ -112,50 +113,52 @@
         best.map(|(_, number)| self.routes[at].lanes[number].1.runs.clone())
     }
 
-    /// Part of the lane's engines that likely cache the prompt; `None` if one cannot be used.
-    fn lane_warmth(
+    /// Fraction of the lane's engines that probably cache the prompt; `None` if one cannot be used.
+    fn cached_fraction(
         &self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         lane: &Lane,
         cached: &[u32],
         now_ms: u64,
     ) -> Option<f64> {
-        let mut warm = 0;
+        let mut cached_engines = 0;
         for run in &lane.runs {
-            let (id, endpoint) = self.table.all.get_index(run.engine)?;
-            let usable = endpoint.takes_work(now_ms) && endpoint.has_room(now_ms);
-            if !usable || rebuild::is_excluded(ask, id) {
+            let (id, endpoint) = self.table.endpoints.get_index(run.engine)?;
+            let usable = endpoint.accepts_work(now_ms) && endpoint.has_free_slot(now_ms);
+            if !usable || rebuild::is_excluded(request, id) {
                 return None;
             }
-            let is_warm = cached.contains(&endpoint.number) && endpoint.hints.is_followed(now_ms);
-            warm += usize::from(is_warm);
+            let is_cached =
+                cached.contains(&endpoint.number) && endpoint.hint_benefit.is_enabled(now_ms);
+            cached_engines += usize::from(is_cached);
         }
-        Some(warm as f64 / lane.runs.len() as f64)
+        Some(cached_engines as f64 / lane.runs.len() as f64)
     }
 
-    /// Whether chains may be searched beside the lanes: some lane has lost an engine.
-    fn may_search(&mut self, ask: &RouteRequest<'_>, now_ms: u64) -> bool {
+    /// Whether chains outside the lanes may be searched, which is the case if some lane has lost an
+    /// engine.
+    fn may_search(&mut self, request: &RouteRequest<'_>, now_ms: u64) -> bool {
         if !self.policy.uses_lanes() {
             return true;
         }
-        let at = self.routes_for(ask.service, ask.model, ask.adapter, now_ms);
+        let at = self.routes_for(request.service, request.model, request.adapter, now_ms);
         let lanes = &self.routes[at].lanes;
-        let lost = |run: &Run| {
-            let found = self.table.all.get_index(run.engine);
-            found.is_none_or(|(id, e)| !e.takes_work(now_ms) || rebuild::is_excluded(ask, id))
+        let lost = |run: &LayerRun| {
+            let found = self.table.endpoints.get_index(run.engine);
+            found.is_none_or(|(id, e)| !e.accepts_work(now_ms) || rebuild::is_excluded(request, id))
         };
         lanes.is_empty() || lanes.iter().flat_map(|(_, lane)| &lane.runs).any(lost)
     }
 
-    /// A chain by the policy's ranks.
-    fn choose(
+    /// Searches for a chain by the policy's ranks.
+    fn search_chain(
         &mut self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         within_limits: bool,
         now_ms: u64,
-    ) -> Option<Vec<Run>> {
-        let at = self.routes_for(ask.service, ask.model, ask.adapter, now_ms);
-        let cached = self.hints.holders(first_block(ask.prompt), now_ms);
+    ) -> Option<Vec<LayerRun>> {
+        let at = self.routes_for(request.service, request.model, request.adapter, now_ms);
+        let cached = self.hints.holders(first_block(request.prompt), now_ms);
         let Self {
             table,
             policy,
@@ -165,9 +168,11 @@
         } = self;
         let routes = &routes[at];
         search(&routes.graph, |step| {
-            let (id, endpoint) = table.all.get_index(step.engine)?;
-            let has_room = step.same_engine || !within_limits || endpoint.has_room(now_ms);
-            if !has_room || !endpoint.takes_work(now_ms) || rebuild::is_excluded(ask, id) {
+            let (id, endpoint) = table.endpoints.get_index(step.engine)?;
+            let has_free_slot =
+                step.same_engine || !within_limits || endpoint.has_free_slot(now_ms);
+            if !has_free_slot || !endpoint.accepts_work(now_ms) || rebuild::is_excluded(request, id)
+            {
                 return None;
             }
             let rate = endpoint
@@ -179,33 +184,34 @@
                 layer_tokens_per_s: rate,
                 outstanding: endpoint.outstanding,
                 last_turn: endpoint.last_turn,
-                cached: cached.contains(&endpoint.number) && endpoint.hints.is_followed(now_ms),
+                cached: cached.contains(&endpoint.number)
+                    && endpoint.hint_benefit.is_enabled(now_ms),
             };
             Some(policy.rank(&candidate, rng.random()))
         })
     }
 
-    /// A chain that keeps the living stages of the last one.
+    /// Searches for a chain that keeps the remaining stages of the previous one.
     fn replace_lost(
         &mut self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         within_limits: bool,
         now_ms: u64,
-    ) -> Option<Vec<Run>> {
+    ) -> Option<Vec<LayerRun>> {
         let Self { table, rng, .. } = self;
-        let kept = rebuild::kept_stages(table, ask, now_ms);
-        rebuild::replace_lost(table, ask, &kept, |step| {
-            let (id, endpoint) = table.all.get_index(step.engine)?;
-            let has_room = !within_limits || endpoint.has_room(now_ms);
-            let usable = has_room && endpoint.takes_work(now_ms);
-            (usable && !rebuild::is_excluded(ask, id))
+        let kept = rebuild::kept_stages(table, request, now_ms);
+        rebuild::replace_lost(table, request, &kept, |step| {
+            let (id, endpoint) = table.endpoints.get_index(step.engine)?;
+            let has_free_slot = !within_limits || endpoint.has_free_slot(now_ms);
+            let usable = has_free_slot && endpoint.accepts_work(now_ms);
+            (usable && !rebuild::is_excluded(request, id))
                 .then(|| reported_load(endpoint) + rng.random_range(0.0..0.1))
         })
     }
 
-    fn stages(&self, runs: &[Run]) -> Vec<Stage> {
-        let stage = |run: &Run| {
-            let (id, endpoint) = self.table.all.get_index(run.engine)?;
+    fn stages(&self, runs: &[LayerRun]) -> Vec<Stage> {
+        let stage = |run: &LayerRun| {
+            let (id, endpoint) = self.table.endpoints.get_index(run.engine)?;
             Some(Stage {
                 endpoint: id.clone(),
                 address: endpoint.address,
@@ -219,21 +225,21 @@
 
     fn reserve(
         &mut self,
-        ask: &RouteRequest<'_>,
+        request: &RouteRequest<'_>,
         stages: &[Stage],
         tokens_before: u32,
         now_ms: u64,
     ) {
-        let block = first_block(ask.prompt);
+        let block = first_block(request.prompt);
         let cached = self.hints.holders(block, now_ms);
         let first = stages
             .first()
-            .and_then(|stage| self.table.all.get(&stage.endpoint));
+            .and_then(|stage| self.table.endpoints.get(&stage.endpoint));
         let reservation = Reservation {
             stages: Vec::with_capacity(stages.len()),
             block,
             hinted: first.is_some_and(|endpoint| cached.contains(&endpoint.number)),
-            prompt_tokens: count_tokens(ask.prompt),
+            prompt_tokens: count_tokens(request.prompt),
             tokens: 0,
             tokens_before,
         };
@@ -243,28 +249,28 @@
             turn,
             ..
         } = self;
-        reservations.take(table, ask.stream, stages, reservation, turn);
+        reservations.reserve(table, request.stream, stages, reservation, turn);
     }
 
-    /// Asserts what every plan must satisfy.
-    fn check(&self, ask: &RouteRequest<'_>, stages: &[Stage], now_ms: u64) {
+    /// Asserts the invariants of every plan.
+    fn check_plan(&self, request: &RouteRequest<'_>, stages: &[Stage], now_ms: u64) {
         let covers = stages.first().map(|stage| stage.layers.first) == Some(0)
-            && stages.last().map(|stage| stage.layers.end) == Some(ask.model.layers)
+            && stages.last().map(|stage| stage.layers.end) == Some(request.model.layers)
             && stages
                 .windows(2)
                 .all(|pair| pair[0].layers.end == pair[1].layers.first);
         crate::invariant::check(covers, "routing.layers_once", || format!("{stages:?}"));
-        let all_take_work = stages.iter().all(|stage| {
-            let endpoint = self.table.all.get(&stage.endpoint);
-            endpoint.is_some_and(|endpoint| endpoint.takes_work(now_ms))
+        let all_accept_work = stages.iter().all(|stage| {
+            let endpoint = self.table.endpoints.get(&stage.endpoint);
+            endpoint.is_some_and(|endpoint| endpoint.accepts_work(now_ms))
         });
-        crate::invariant::check(all_take_work, "routing.no_work_to_leaving", || {
+        crate::invariant::check(all_accept_work, "routing.no_work_to_leaving", || {
             format!("{stages:?}")
         });
     }
 }
 
-/// Part of the batch in use, by the engine's last report and this entry's streams.
+/// Fraction of the slots in use, based on the engine's last report and this entry's streams.
 fn reported_load(endpoint: &Endpoint) -> f64 {
     endpoint.state.as_ref().map_or(0.0, |state| {
         let used = (state.running + state.waiting).max(endpoint.outstanding);
--- a/src/routing/policy.rs
+++ b/src/routing/policy.rs
@@ -1,34 +1,34 @@
-//! Policies: how the next engine of a chain is chosen among those that could run it.
+//! Policies for choosing the next engine of a chain among the candidates.
 
 /// An engine that could run the next layers of a chain.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Whether it runs the layers before too, so that choosing it adds no stage.
+    /// Whether the engine also runs the previous layers, so that choosing it adds no stage.
     pub same_engine: bool,
-    /// Rate of the engine, in layers times tokens a second.
+    /// Rate of the engine, in layers × tokens per second.
     pub layer_tokens_per_s: f64,
-    /// Streams of this entry at the engine.
+    /// Streams of this entry on the engine.
     pub outstanding: u32,
-    /// Turn at which the engine was last chosen; grows.
+    /// Value of a monotonically increasing counter when the engine was last chosen.
     pub last_turn: u64,
-    /// Whether the engine likely caches the start of the prompt.
+    /// Whether the engine probably caches the start of the prompt.
     pub cached: bool,
 }
 
-/// A way to choose. The candidate of the lowest rank is taken.
+/// A policy ranks the candidates; the one with the lowest rank is chosen.
 pub trait Policy {
-    /// Whether new streams take lanes: chains made beforehand from the flow, with slots of their
-    /// own. Candidates are then ranked only where no lane can be used.
+    /// Whether new streams use lanes: precomputed chains with slots of their own. Candidates are
+    /// then ranked only if no lane can be used.
     fn uses_lanes(&self) -> bool {
         false
     }
 
-    /// Ranks a candidate; `draw` is uniform in `0.0..1.0`, drawn for each candidate anew.
+    /// Ranks a candidate; `draw` is uniform in `0.0..1.0` and drawn separately for each candidate.
     fn rank(&self, candidate: &Candidate, draw: f64) -> f64;
 }
 
-/// The product's policy: lanes made from the flow. Where none can be used, the engine with the
-/// least outstanding work for its rate.
+/// The default policy: lanes computed from the flow. If no lane can be used, it chooses the engine
+/// with the least outstanding work relative to its rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FlowWeighted;
 
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RandomChoice;
 
-/// Baseline: the engine that was chosen longest ago.
+/// Baseline: the least recently chosen engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundRobin;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LeastOutstanding;
 
-/// Part of the rank that a cached prefix leaves.
+/// Factor applied to the rank of an engine that caches the prefix.
 const CACHED_FACTOR: f64 = 0.5;
 
 impl Policy for FlowWeighted {
@@ -56,29 +56,29 @@
         let rate = candidate.layer_tokens_per_s.max(1e-3);
         let load = (f64::from(candidate.outstanding) + draw) / rate;
         let factor = if candidate.cached { CACHED_FACTOR } else { 1.0 };
-        stay_first(candidate, load * factor)
+        prefer_same_engine(candidate, load * factor)
     }
 }
 
 impl Policy for RandomChoice {
     fn rank(&self, candidate: &Candidate, draw: f64) -> f64 {
-        stay_first(candidate, draw)
+        prefer_same_engine(candidate, draw)
     }
 }
 
 impl Policy for RoundRobin {
     fn rank(&self, candidate: &Candidate, _draw: f64) -> f64 {
-        stay_first(candidate, candidate.last_turn as f64)
+        prefer_same_engine(candidate, candidate.last_turn as f64)
     }
 }
 
 impl Policy for LeastOutstanding {
     fn rank(&self, candidate: &Candidate, draw: f64) -> f64 {
-        stay_first(candidate, f64::from(candidate.outstanding) + draw * 0.5)
+        prefer_same_engine(candidate, f64::from(candidate.outstanding) + draw * 0.5)
     }
 }
 
-/// One of the policies above, as a value.
+/// Selects one of the policies above at run time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PolicyKind {
     /// [`FlowWeighted`].
@@ -112,8 +112,8 @@
     }
 }
 
-/// Runs every layer that an engine holds before the chain goes on to another: a stage less is a
-/// slot less.
-fn stay_first(candidate: &Candidate, rank: f64) -> f64 {
+/// Always stays on the same engine while it holds the next layers: one stage less takes one slot
+/// less.
+fn prefer_same_engine(candidate: &Candidate, rank: f64) -> f64 {
     if candidate.same_engine { -1.0 } else { rank }
 }
--- a/src/routing/polls.rs
+++ b/src/routing/polls.rs
@@ -1,4 +1,4 @@
-//! Which engines are asked for their state and cache events, and when.
+//! Schedule for polling engines for their state and cache events.
 
 use std::net::SocketAddr;
 
@@ -10,51 +10,51 @@
 
 use super::endpoints::{Endpoint, EndpointTable};
 
-/// Mean time between two questions for an engine's state.
-const STATE_POLL_MS: u64 = 500;
-/// Mean time between two questions for an engine's cache events.
-const CACHE_POLL_MS: u64 = 1_000;
-/// Each time is drawn within this part around its mean, so that entries do not ask in step.
-const JITTER_PARTS: u64 = 5;
+/// Mean interval between polls of an engine's state.
+const STATE_POLL_INTERVAL_MS: u64 = 500;
+/// Mean interval between polls of an engine's cache events.
+const CACHE_POLL_INTERVAL_MS: u64 = 1_000;
+/// Each interval varies by up to its mean divided by this, so that entries do not poll in lockstep.
+const JITTER_DIVISOR: u64 = 5;
 
-/// A question to an engine that is due.
+/// A poll of an engine that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// The engine.
+    /// The engine to poll.
     pub endpoint: EndpointId,
-    /// Its address.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What to ask.
+    /// What to request.
     pub kind: PollKind,
 }
 
-/// What to ask an engine.
+/// What to request from an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollKind {
-    /// Its state.
+    /// The engine's state.
     State,
-    /// Its cache events.
+    /// The engine's cache events.
     CacheEvents {
-        /// Only events after this one.
+        /// Sequence number after which events are requested.
         after: u64,
     },
 }
 
-/// Questions that are due; each is returned once. A suspected engine is asked for its state more
-/// often than others and when its backoff ends, and not for cache events.
+/// Returns the polls that are due, each of them once. The state of a suspected engine is polled
+/// more often than that of others and when its backoff ends; its cache events are not polled.
 pub(crate) fn due(table: &mut EndpointTable, rng: &mut SmallRng, now_ms: u64) -> Vec<Poll> {
     let mut due = Vec::new();
-    for endpoint in table.all.values_mut() {
+    for endpoint in table.endpoints.values_mut() {
         if endpoint.role != InstanceRole::Engine {
             continue;
         }
         if now_ms >= endpoint.poll_state_at_ms {
-            endpoint.poll_state_at_ms = now_ms + jittered_ms(STATE_POLL_MS, rng);
+            endpoint.poll_state_at_ms = now_ms + jittered_ms(STATE_POLL_INTERVAL_MS, rng);
             due.push(poll(endpoint, PollKind::State));
         }
         if now_ms >= endpoint.poll_cache_at_ms {
-            endpoint.poll_cache_at_ms = now_ms + jittered_ms(CACHE_POLL_MS, rng);
-            if endpoint.takes_work(now_ms) {
+            endpoint.poll_cache_at_ms = now_ms + jittered_ms(CACHE_POLL_INTERVAL_MS, rng);
+            if endpoint.accepts_work(now_ms) {
                 let after = endpoint.cache_after;
                 due.push(poll(endpoint, PollKind::CacheEvents { after }));
             }
@@ -72,6 +72,6 @@
 }
 
 fn jittered_ms(mean_ms: u64, rng: &mut SmallRng) -> u64 {
-    let spread_ms = mean_ms / JITTER_PARTS;
+    let spread_ms = mean_ms / JITTER_DIVISOR;
     mean_ms - spread_ms + rng.random_range(0..=2 * spread_ms)
 }
--- a/src/routing/rebuild.rs
+++ b/src/routing/rebuild.rs
@@ -1,38 +1,39 @@
-//! Chains for streams that lost a stage: living stages stay, lost ones are replaced.
+//! Chains for streams that lost a stage: remaining stages are kept and lost ones are replaced.
 //!
-//! A stage that stays and has no recomputing stage behind it keeps its KV state. A stage in the
-//! place of an engine that leaves but still answers imports the state from it. Otherwise every
-//! stage up to the last replaced one must recompute, since it feeds that one.
+//! A kept stage retains its KV state if no stage after it recomputes. A stage that replaces an
+//! engine that is leaving but still reachable imports the state from it. Otherwise every stage up
+//! to the last replaced one must recompute, because it feeds that one.
 
 use crate::document::ModelOffer;
 use crate::ids::EndpointId;
 use crate::wire::engine::{LayerRange, Stage};
 
-use super::chain::{Run, Step, search};
+use super::chain::{LayerRun, Step, search};
 use super::endpoints::{Endpoint, EndpointTable};
 use super::graph::Graph;
 use super::router::RouteRequest;
 
-/// Tokens over which the gaps of two chains are compared with the cost of recomputing.
+/// Number of future tokens over which the inter-token gaps of two chains are weighed against the
+/// cost of recomputing.
 const HORIZON_TOKENS: f64 = 64.0;
-/// Cost of recomputing a position against generating a token.
+/// Cost of recomputing one position relative to generating one token.
 const RECOMPUTE_COST: f64 = 0.125;
 
-/// Stages of the last chain that can stay.
+/// Returns the stages of the previous chain that can be kept.
 pub(crate) fn kept_stages<'a>(
     table: &EndpointTable,
-    ask: &RouteRequest<'a>,
+    request: &RouteRequest<'a>,
     now_ms: u64,
 ) -> Vec<&'a Stage> {
     let stays = |stage: &&Stage| {
-        let endpoint = table.all.get(&stage.endpoint);
+        let endpoint = table.endpoints.get(&stage.endpoint);
         endpoint.is_some_and(|endpoint| {
             endpoint.address == stage.address
-                && endpoint.takes_work(now_ms)
-                && holds(endpoint, ask.model, ask.adapter, stage.layers)
-        }) && !ask.exclude.contains(&stage.endpoint)
+                && endpoint.accepts_work(now_ms)
+                && holds(endpoint, request.model, request.adapter, stage.layers)
+        }) && !request.exclude.contains(&stage.endpoint)
     };
-    ask.previous.iter().filter(stays).collect()
+    request.previous.iter().filter(stays).collect()
 }
 
 fn holds(
@@ -49,24 +50,31 @@
     })
 }
 
-/// Replaces only the lost stages. `rank` is as in [`search`]; it is asked about replacements only.
+/// Replaces only the lost stages. `rank` is the same as for [`search`], but it is called only for
+/// replacements.
 pub(crate) fn replace_lost<F>(
     table: &EndpointTable,
-    ask: &RouteRequest<'_>,
+    request: &RouteRequest<'_>,
     kept: &[&Stage],
     mut rank: F,
-) -> Option<Vec<Run>>
+) -> Option<Vec<LayerRun>>
 where
     F: FnMut(Step) -> Option<f64>,
 {
-    let bounds = ask
+    let bounds = request
         .previous
         .iter()
         .flat_map(|stage| [stage.layers.first, stage.layers.end]);
     let cuts: Vec<u16> = bounds.collect();
-    let graph = Graph::build(table, ask.service, ask.model, ask.adapter, &cuts);
+    let graph = Graph::build(
+        table,
+        request.service,
+        request.model,
+        request.adapter,
+        &cuts,
+    );
     search(&graph, |step| {
-        let (id, _) = table.all.get_index(step.engine)?;
+        let (id, _) = table.endpoints.get_index(step.engine)?;
         let layers = graph.segments[step.segment].layers;
         let keeper = kept.iter().find(|stage| stage.layers.covers(layers));
         let is_kept = kept.iter().any(|stage| stage.endpoint == *id);
@@ -79,12 +87,17 @@
     })
 }
 
-/// Decides which stages recompute and which import; `stages` say all recompute.
-pub(crate) fn mark(table: &EndpointTable, ask: &RouteRequest<'_>, stages: &mut [Stage]) {
-    let kept: Vec<bool> = stages.iter().map(|stage| is_kept(ask, stage)).collect();
+/// Decides which stages recompute and which import. On entry, all of `stages` are marked to
+/// recompute.
+pub(crate) fn mark_recomputed(
+    table: &EndpointTable,
+    request: &RouteRequest<'_>,
+    stages: &mut [Stage],
+) {
+    let kept: Vec<bool> = stages.iter().map(|stage| is_kept(request, stage)).collect();
     let sources: Vec<_> = stages
         .iter()
-        .map(|stage| source(table, ask, stage))
+        .map(|stage| import_source(table, request, stage))
         .collect();
     let last_recomputed = kept
         .iter()
@@ -99,29 +112,30 @@
     }
 }
 
-fn is_kept(ask: &RouteRequest<'_>, stage: &Stage) -> bool {
-    ask.previous.iter().any(|before| {
+fn is_kept(request: &RouteRequest<'_>, stage: &Stage) -> bool {
+    request.previous.iter().any(|before| {
         before.endpoint == stage.endpoint
             && before.address == stage.address
             && before.layers.covers(stage.layers)
     })
 }
 
-/// An engine of the last chain that leaves but can still hand over the stage's KV state.
-fn source(
+/// Returns the address of an engine of the previous chain that is leaving but can still export the
+/// KV state of the stage.
+fn import_source(
     table: &EndpointTable,
-    ask: &RouteRequest<'_>,
+    request: &RouteRequest<'_>,
     stage: &Stage,
 ) -> Option<std::net::SocketAddr> {
-    let before = ask
+    let before = request
         .previous
         .iter()
         .find(|before| before.layers.covers(stage.layers))?;
-    let endpoint = table.all.get(&before.endpoint)?;
+    let endpoint = table.endpoints.get(&before.endpoint)?;
     (endpoint.address == before.address && endpoint.can_export()).then_some(before.address)
 }
 
-/// What a chain costs: recomputing, then the gaps of the tokens to come, in milliseconds.
+/// Cost of a chain in milliseconds: recomputation plus the inter-token gaps of future tokens.
 pub(crate) fn cost_ms(stages: &[Stage], stage_ms: &[f64], positions: u32) -> f64 {
     let gap_ms: f64 = stage_ms.iter().sum();
     let recomputed_ms: f64 = stages
@@ -133,7 +147,7 @@
     recomputed_ms + gap_ms * HORIZON_TOKENS
 }
 
-/// Whether an engine must not be used for this ask.
-pub(crate) fn is_excluded(ask: &RouteRequest<'_>, id: &EndpointId) -> bool {
-    !ask.exclude.is_empty() && ask.exclude.contains(id)
+/// Whether the request excludes an engine.
+pub(crate) fn is_excluded(request: &RouteRequest<'_>, id: &EndpointId) -> bool {
+    !request.exclude.is_empty() && request.exclude.contains(id)
 }
--- a/src/routing/routes.rs
+++ b/src/routing/routes.rs
@@ -1,4 +1,4 @@
-//! The engines of one model and adapter as a graph, with the bound and the lanes made of it.
+//! The engines of one model and adapter as a graph, with its throughput bound and lanes.
 
 use crate::document::ModelOffer;
 use crate::ids::ServiceName;
@@ -10,7 +10,7 @@
 use super::links::LinkTable;
 use super::streams::lane_key;
 
-/// What plans for one model and adapter are made from; built anew when structure changes.
+/// Basis of all plans for one model and adapter; rebuilt when the structure changes.
 #[derive(Clone, Debug)]
 pub(crate) struct Routes {
     pub(crate) service: ServiceName,
@@ -18,16 +18,17 @@
     pub(crate) adapter: Option<String>,
     pub(crate) graph: Graph,
     links: LinkTable,
-    /// Most tokens a second that the engines could generate.
+    /// Maximum number of tokens per second that the engines could generate.
     pub(crate) bound_tokens_per_s: f64,
-    /// Lanes, with the key of each under which its streams are counted.
+    /// Lanes, each with the key under which its streams are counted.
     pub(crate) lanes: Vec<(u64, Lane)>,
-    /// The search for better lanes; `None` when it is over.
+    /// The search for better lanes; `None` when it is finished.
     search: Option<LaneSearch>,
 }
 
 impl Routes {
-    /// Builds the graph, its bound and the first lanes; endpoints that take no work have no part.
+    /// Builds the graph, its bound and the first lanes. Endpoints that accept no work are left out
+    /// of the bound and the lanes.
     pub(crate) fn build(
         table: &EndpointTable,
         service: &ServiceName,
@@ -51,8 +52,8 @@
         }
     }
 
-    /// Whether these are the routes of that model and adapter.
-    pub(crate) fn serve(
+    /// Whether these routes are for the given model and adapter.
+    pub(crate) fn matches(
         &self,
         service: &ServiceName,
         model: &ModelOffer,
@@ -61,8 +62,8 @@
         self.service == *service && self.model == *model && self.adapter.as_deref() == adapter
     }
 
-    /// Looks on for better lanes; whether the search is over. Not to be called after the list or
-    /// what an engine holds changed.
+    /// Continues the search for better lanes. Returns whether it is finished. Must not be called
+    /// after the list of endpoints or what an engine holds has changed.
     pub(crate) fn improve(&mut self, table: &EndpointTable) -> bool {
         let Some(search) = &mut self.search else {
             return true;
@@ -75,7 +76,7 @@
         true
     }
 
-    /// Indices of all engines that hold some layer.
+    /// Returns the indices of all engines that hold some layer.
     pub(crate) fn holders(&self) -> Vec<usize> {
         let segments = self.graph.segments.iter();
         segments
@@ -87,7 +88,7 @@
 fn with_keys(table: &EndpointTable, lanes: Vec<Lane>) -> Vec<(u64, Lane)> {
     let key = |lane: &Lane| {
         lane_key(lane.runs.iter().filter_map(|run| {
-            let (_, endpoint) = table.all.get_index(run.engine)?;
+            let (_, endpoint) = table.endpoints.get_index(run.engine)?;
             Some((endpoint.number, run.layers))
         }))
     };
--- a/src/routing/simplex.rs
+++ b/src/routing/simplex.rs
@@ -1,27 +1,28 @@
-//! A small linear program: maximise `gain x` where `rows x <= limits` and `x >= 0`.
+//! Simplex solver for small linear programs: maximizes `gain x` subject to `rows x <= limits` and
+//! `x >= 0`.
 //!
-//! Dense tableau, for a few dozen rows. All limits are 0 or more, so that `x = 0` is feasible.
+//! Uses a dense tableau, intended for a few dozen rows. All limits are at least 0, so `x = 0` is
+//! feasible.
 
-/// Pivots after which the best solution so far is returned.
-const MOST_PIVOTS: usize = 5_000;
-/// Values nearer to 0 count as 0.
-const TINY: f64 = 1e-9;
-/// Pivots by steepest gain before the rule that surely ends.
+/// Number of pivots after which the best solution so far is returned.
+const MAX_PIVOTS: usize = 5_000;
+/// Values closer to 0 than this count as 0.
+const EPSILON: f64 = 1e-9;
+/// Number of pivots by steepest gain before switching to a rule that is guaranteed to terminate.
 const STEEPEST_PIVOTS: usize = 1_000;
 
-/// A column of the program.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Column {
-    /// What one unit brings.
+    /// Gain per unit.
     pub(crate) gain: f64,
-    /// What one unit uses of each row: (row, amount).
+    /// Amount of each row used per unit, as (row, amount).
     pub(crate) uses: Vec<(usize, f64)>,
 }
 
-/// Solves the program; returns one value for each column.
-pub(crate) fn maximise(columns: &[Column], limits: &[f64]) -> Vec<f64> {
+/// Solves the program and returns one value for each column.
+pub(crate) fn maximize(columns: &[Column], limits: &[f64]) -> Vec<f64> {
     let mut tableau = Tableau::new(columns, limits);
-    for pivot in 0..MOST_PIVOTS {
+    for pivot in 0..MAX_PIVOTS {
         let Some(entering) = tableau.entering(pivot < STEEPEST_PIVOTS) else {
             break;
         };
@@ -34,9 +35,10 @@
 }
 
 struct Tableau {
-    /// Rows of the columns, the slacks and the right-hand side; the last row is the objective.
+    /// Rows of the columns, the slack variables and the right-hand side; the last row is the
+    /// objective.
     cells: Vec<Vec<f64>>,
-    /// Column that is basic in each row.
+    /// Basic column of each row.
     basis: Vec<usize>,
 }
 
@@ -63,7 +65,10 @@
     fn entering(&self, steepest: bool) -> Option<usize> {
         let objective = self.cells.last()?;
         let costs = &objective[..objective.len() - 1];
-        let mut gaining = costs.iter().enumerate().filter(|(_, cost)| **cost < -TINY);
+        let mut gaining = costs
+            .iter()
+            .enumerate()
+            .filter(|(_, cost)| **cost < -EPSILON);
         let chosen = if steepest {
             gaining.min_by(|(_, one), (_, other)| one.total_cmp(other))
         } else {
@@ -76,14 +81,15 @@
         let mut best: Option<(f64, usize)> = None;
         for (row, basic) in self.basis.iter().enumerate() {
             let cells = &self.cells[row];
-            if cells[entering] <= TINY {
+            if cells[entering] <= EPSILON {
                 continue;
             }
             let ratio = cells[cells.len() - 1] / cells[entering];
             let better = match best {
                 None => true,
                 Some((least, held)) => {
-                    ratio < least - TINY || (ratio <= least + TINY && *basic < self.basis[held])
+                    ratio < least - EPSILON
+                        || (ratio <= least + EPSILON && *basic < self.basis[held])
                 }
             };
             if better {
--- a/src/routing/streams.rs
+++ b/src/routing/streams.rs
@@ -1,4 +1,4 @@
-//! Streams that hold slots on engines, and how many there are on each lane.
+//! Streams that hold slots on engines, and the number of streams on each lane.
 
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::Xxh3;
@@ -8,17 +8,18 @@
 
 use super::endpoints::EndpointTable;
 
-/// A stream that holds slots.
+/// The slots that a stream holds.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
     pub(crate) stages: Vec<Slot>,
-    /// First block of the prompt, and whether its first engine was hinted to cache it.
+    /// First block of the prompt, if it has a complete one.
     pub(crate) block: Option<u64>,
+    /// Whether a hint said that the first engine caches this block.
     pub(crate) hinted: bool,
     pub(crate) prompt_tokens: u32,
-    /// Tokens seen since the plan.
+    /// Tokens observed since the plan.
     pub(crate) tokens: u32,
-    /// Tokens seen before the plan, by the same stream.
+    /// Tokens of the same stream observed before the plan.
     pub(crate) tokens_before: u32,
 }
 
@@ -26,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Slot {
     pub(crate) endpoint: EndpointId,
-    /// The engine's number in the endpoint table.
+    /// Number of the engine in the endpoint table.
     pub(crate) number: u32,
     pub(crate) layers: LayerRange,
 }
@@ -35,11 +36,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Reservations {
     pub(crate) streams: IndexMap<StreamId, Reservation>,
-    /// Streams on each lane, by its key.
+    /// Number of streams on each lane, by its key.
     lanes: IndexMap<u64, u32>,
 }
 
-/// Key of a chain of (engine number, layers).
+/// Returns the key of a chain, given the number and layers of each engine.
 pub(crate) fn lane_key<I>(stages: I) -> u64
 where
     I: Iterator<Item = (u32, LayerRange)>,
@@ -60,8 +61,8 @@
 }
 
 impl Reservations {
-    /// Takes a slot on every engine of the chain.
-    pub(crate) fn take(
+    /// Reserves a slot on every engine of the chain.
+    pub(crate) fn reserve(
         &mut self,
         table: &mut EndpointTable,
         stream: StreamId,
@@ -70,7 +71,7 @@
         turn: &mut u64,
     ) {
         for stage in stages {
-            let Some(endpoint) = table.all.get_mut(&stage.endpoint) else {
+            let Some(endpoint) = table.endpoints.get_mut(&stage.endpoint) else {
                 continue;
             };
             *turn += 1;
@@ -86,7 +87,7 @@
         self.streams.insert(stream, reservation);
     }
 
-    /// Gives back the slots of a stream.
+    /// Releases the slots of a stream.
     pub(crate) fn release(
         &mut self,
         table: &mut EndpointTable,
@@ -94,26 +95,26 @@
     ) -> Option<Reservation> {
         let reservation = self.streams.swap_remove(&stream)?;
         for slot in &reservation.stages {
-            if let Some(endpoint) = table.all.get_mut(&slot.endpoint)
+            if let Some(endpoint) = table.endpoints.get_mut(&slot.endpoint)
                 && endpoint.number == slot.number
             {
                 crate::invariant::check(endpoint.outstanding > 0, "routing.slots", || {
-                    format!("{} released more often than taken", slot.endpoint)
+                    format!("{} released more often than reserved", slot.endpoint)
                 });
                 endpoint.outstanding = endpoint.outstanding.saturating_sub(1);
             }
         }
-        take_one(&mut self.lanes, &reservation.lane_key());
+        decrement(&mut self.lanes, &reservation.lane_key());
         Some(reservation)
     }
 
-    /// Streams on a lane.
-    pub(crate) fn on_lane(&self, key: u64) -> u32 {
+    /// Returns the number of streams on a lane.
+    pub(crate) fn count_on_lane(&self, key: u64) -> u32 {
         self.lanes.get(&key).copied().unwrap_or(0)
     }
 }
 
-fn take_one<K>(counts: &mut IndexMap<K, u32>, key: &K)
+fn decrement<K>(counts: &mut IndexMap<K, u32>, key: &K)
 where
     K: std::hash::Hash + Eq,
 {
--- a/src/routing/tests.rs
+++ b/src/routing/tests.rs
@@ -1,6 +1,7 @@
-//! Tests of routing.
+//! Routing tests.
 
 mod affinity;
+mod fixture;
 mod fleet;
 mod flow;
 mod limits;
@@ -8,4 +9,3 @@
 mod rebuilds;
 mod speed;
 mod throughput;
-mod world;
--- a/src/routing/tests/affinity.rs
+++ b/src/routing/tests/affinity.rs
@@ -1,6 +1,6 @@
-//! Hints about cached prompts.
+//! Tests of hints about cached prompts.
 
-use crate::routing::affinity::{HINT_LIFE_MS, HintWorth, PrefixHints, first_block};
+use crate::routing::affinity::{HINT_TTL_MS, HintBenefit, PrefixHints, first_block};
 use crate::wire::engine::CACHE_BLOCK_TOKENS;
 
 #[test]
@@ -16,36 +16,36 @@
 }
 
 #[test]
-fn hints_age_and_end_with_evictions_and_incarnations() {
+fn hints_expire_and_are_removed_by_evictions_and_new_incarnations() {
     let mut hints = PrefixHints::default();
-    hints.store(1, 10, 0);
-    hints.store(1, 11, 1_000);
+    hints.add(1, 10, 0);
+    hints.add(1, 11, 1_000);
     assert_eq!(hints.holders(Some(1), 1_000), [10, 11]);
-    assert_eq!(hints.holders(Some(1), HINT_LIFE_MS), [11]);
-    hints.evict(1, 11);
+    assert_eq!(hints.holders(Some(1), HINT_TTL_MS), [11]);
+    hints.remove(1, 11);
     assert_eq!(hints.holders(Some(1), 1_000), [10]);
-    hints.forget(10);
+    hints.remove_engine(10);
     assert!(hints.holders(Some(1), 1_000).is_empty());
     assert!(hints.holders(None, 0).is_empty());
 }
 
 #[test]
-fn hints_that_save_nothing_are_ignored_for_a_time() {
-    let mut worth = HintWorth::default();
+fn hints_without_benefit_are_ignored_for_a_while() {
+    let mut benefit = HintBenefit::default();
     for now_ms in 0..20 {
-        worth.learn(true, 5.0, now_ms);
-        worth.learn(false, 5.0, now_ms);
+        benefit.record(true, 5.0, now_ms);
+        benefit.record(false, 5.0, now_ms);
     }
-    assert!(!worth.is_followed(100));
-    assert!(worth.is_followed(60_000));
+    assert!(!benefit.is_enabled(100));
+    assert!(benefit.is_enabled(60_000));
 }
 
 #[test]
-fn hints_that_save_time_are_followed() {
-    let mut worth = HintWorth::default();
+fn hints_that_save_time_are_used() {
+    let mut benefit = HintBenefit::default();
     for now_ms in 0..40 {
-        worth.learn(true, 2.0, now_ms);
-        worth.learn(false, 5.0, now_ms);
+        benefit.record(true, 2.0, now_ms);
+        benefit.record(false, 5.0, now_ms);
     }
-    assert!(worth.is_followed(100));
+    assert!(benefit.is_enabled(100));
 }
--- a/src/routing/tests/world.rs
+++ b/src/routing/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A router with a handful of engines, for tests of single plans.
+//! A router with a few engines, for tests of individual plans.
 
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -13,7 +13,7 @@
 
 pub(super) const LAYERS: u16 = 12;
 
-pub(super) struct World {
+pub(super) struct RouterFixture {
     pub(super) router: Router<FlowWeighted>,
     pub(super) model: ModelOffer,
     pub(super) records: Vec<EndpointRecord>,
@@ -21,8 +21,9 @@
     rng: SmallRng,
 }
 
-impl World {
-    /// Engines `e0`, `e1`, ... with these layers, rates and batches, all of which have answered.
+impl RouterFixture {
+    /// Creates engines `e0`, `e1`, ... with the given layers, rates and batch limits, all of which
+    /// have answered.
     pub(super) fn new(engines: &[(u16, u16, f64, u32)]) -> Self {
         let mut rng = SmallRng::seed_from_u64(7);
         let mut records = Vec::new();
@@ -52,19 +53,19 @@
         let model = fleet::model(LAYERS, 1_000);
         let mut router = Router::new(FlowWeighted, ZoneName::from("a"), 3);
         router.set_documents(&documents(&model));
-        let mut world = Self {
+        let mut fixture = Self {
             router,
             model,
             records,
             states,
             rng,
         };
-        world.tell(0);
-        world
+        fixture.update_router(0);
+        fixture
     }
 
-    /// Tells the router everything.
-    pub(super) fn tell(&mut self, now_ms: u64) {
+    /// Passes all records and states to the router.
+    pub(super) fn update_router(&mut self, now_ms: u64) {
         self.router.set_endpoints(&self.records, now_ms);
         for state in &self.states {
             self.router
@@ -102,8 +103,8 @@
         self.router.plan(&ask, now_ms)
     }
 
-    /// Whether every layer is run once, in order, by an engine that holds it.
-    pub(super) fn is_whole(&self, chain: &[Stage]) -> bool {
+    /// Whether every layer is run exactly once, in order, by an engine that holds it.
+    pub(super) fn covers_all_layers(&self, chain: &[Stage]) -> bool {
         let mut at = 0;
         for stage in chain {
             let state = self.states.iter().find(|s| s.endpoint == stage.endpoint);
--- a/src/routing/tests/fleet.rs
+++ b/src/routing/tests/fleet.rs
@@ -1,8 +1,9 @@
-//! A small discrete simulation of engines in chains, driven through the router's public API.
+//! Discrete-event simulation of engines in chains, driven through the router's public API.
 //!
-//! Engines work steps off one after the other at their rate, a step takes at least a part of a
-//! full batch's time, streams hold one of the slots of several batches at each of their engines from begin
-//! to end and wait for one otherwise, links have delay and bandwidth, load figures lag.
+//! Engines process steps in order at their rate, and a step takes at least a part of the time of a
+//! full batch. A stream holds a slot on each of its engines from start to end, and waits if none is
+//! free; an engine has slots for several batches. Links have delay and bandwidth, and reported load
+//! lags behind.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -20,10 +21,10 @@
 use crate::wire::local::EndpointRecord;
 use crate::wire::platform::{InstancePhase, InstanceRole};
 
-/// Streams that an engine holds at once, in batches.
+/// Slots of an engine, as a multiple of its batch limit.
 const SLOT_BATCHES: u32 = 4;
 
-/// A kind of engine and how many there are of each range.
+/// A kind of engine, and the number of replicas of each range.
 #[derive(Clone, Debug)]
 pub(super) struct Kind {
     pub(super) name: &'static str,
@@ -34,7 +35,7 @@
     pub(super) batch_limit: u32,
 }
 
-/// Delay and bandwidth from one kind to another.
+/// Returns the delay and bandwidth from one kind to another.
 pub(super) type Links = fn(&Kind, &Kind) -> LinkState;
 
 #[derive(Clone, Debug)]
@@ -44,10 +45,10 @@
     pub(super) layers: u16,
     pub(super) activation_bytes: u32,
     pub(super) entries: usize,
-    /// Entries that have callers.
+    /// Entries that receive requests.
     pub(super) busy_entries: usize,
     pub(super) prompt_tokens: u32,
-    /// Different prompts; the start of each is cached by engines.
+    /// Number of different prompts; engines cache the start of each.
     pub(super) prompts: u32,
     pub(super) answer_tokens: std::ops::Range<u32>,
 }
@@ -59,9 +60,9 @@
     gap_ms: f64,
     /// Mean time from dispatch to the first token.
     first_ms: f64,
-    /// Part of stage begins that found no slot.
+    /// Fraction of stage starts that found no free slot.
     waited: f64,
-    /// Layers times tokens a second that each kind of engine ran.
+    /// Layers × tokens per second that each kind of engine ran.
     rate_by_kind: IndexMap<&'static str, f64>,
 }
 
@@ -128,7 +129,7 @@
     cached: IndexSet<u32>,
 }
 
-/// A stream just planned.
+/// A newly planned stream.
 #[derive(Clone, Debug)]
 pub(super) struct Planned {
     pub(super) stream: StreamId,
@@ -141,7 +142,7 @@
     id: StreamId,
     entry: usize,
     stages: Vec<(usize, u16)>,
-    begun: Vec<bool>,
+    started: Vec<bool>,
     prompt: u32,
     tokens_left: u32,
     last_us: u64,
@@ -176,7 +177,7 @@
     tokens: u64,
     gaps: (u64, u64),
     firsts: (u64, u64),
-    begins: (u64, u64),
+    stage_starts: (u64, u64),
     kinds: IndexMap<&'static str, f64>,
 }
 
@@ -219,15 +220,15 @@
             tokens: 0,
             gaps: (0, 0),
             firsts: (0, 0),
-            begins: (0, 0),
+            stage_starts: (0, 0),
             kinds: IndexMap::new(),
         }
     }
 
-    /// Runs with callers always waiting; counts after `warm_s`.
-    pub(super) fn run(&mut self, warm_s: u64, counted_s: u64) -> Outcome {
-        self.counted_from_us = warm_s * 1_000_000;
-        let end_us = (warm_s + counted_s) * 1_000_000;
+    /// Runs with requests always waiting; counting starts after `warm_up_s`.
+    pub(super) fn run(&mut self, warm_up_s: u64, counted_s: u64) -> Outcome {
+        self.counted_from_us = warm_up_s * 1_000_000;
+        let end_us = (warm_up_s + counted_s) * 1_000_000;
         self.push(250_000, Event::Report);
         for entry in 0..self.spec.entries {
             self.push(1_000 + 2_700 * entry as u64, Event::Tick { entry });
@@ -246,7 +247,7 @@
             bound: self.routers[0].capacity_tokens_per_s(&service()),
             gap_ms: ratio(self.gaps) / 1e3,
             first_ms: ratio(self.firsts) / 1e3,
-            waited: ratio(self.begins),
+            waited: ratio(self.stage_starts),
             rate_by_kind: self.kinds.iter().map(|(k, t)| (*k, t / seconds)).collect(),
         }
     }
@@ -273,16 +274,16 @@
 
     fn arrive(&mut self, stream: usize, stage: usize) {
         let (engine, _) = self.streams[stream].stages[stage];
-        if self.streams[stream].begun[stage] {
+        if self.streams[stream].started[stage] {
             return self.run_step(stream, stage, 0);
         }
-        self.streams[stream].begun[stage] = true;
-        self.begins.1 += 1;
+        self.streams[stream].started[stage] = true;
+        self.stage_starts.1 += 1;
         let limit = (self.engines[engine].kind.batch_limit * SLOT_BATCHES) as usize;
         if self.engines[engine].running.len() < limit {
             self.start(stream, stage);
         } else {
-            self.begins.0 += 1;
+            self.stage_starts.0 += 1;
             self.engines[engine].waiting.push_back((stream, stage));
         }
     }
@@ -448,7 +449,7 @@
         self.streams.push(Stream {
             id: planned.stream,
             entry,
-            begun: vec![false; stages.len()],
+            started: vec![false; stages.len()],
             stages,
             prompt: planned.prompt,
             tokens_left: answer_tokens,
--- a/src/routing/tests/flow.rs
+++ b/src/routing/tests/flow.rs
@@ -1,11 +1,11 @@
-//! The bound, against a linear program over all paths and against enumerated cuts.
+//! Compares the throughput bound with a linear program over all paths and with enumerated cuts.
 
 use proptest::prelude::*;
 
 use crate::routing::flow::{Network, solve};
-use crate::routing::simplex::{Column, maximise};
+use crate::routing::simplex::{Column, maximize};
 
-/// Every way through the network: the holder taken in each segment.
+/// Returns every path through the network, as the position of the holder in each segment.
 fn paths(network: &Network) -> Vec<Vec<usize>> {
     let mut paths = vec![Vec::new()];
     for holders in &network.holders {
@@ -17,8 +17,8 @@
     paths
 }
 
-/// The bound as a linear program with a variable for each path.
-fn by_paths(network: &Network) -> f64 {
+/// Solves the bound as a linear program with one variable for each path.
+fn solve_over_paths(network: &Network) -> f64 {
     let mut limits = network.rates.clone();
     let first_link = limits.len();
     let mut link_rows = Vec::new();
@@ -44,11 +44,11 @@
         Column { gain: 1.0, uses }
     };
     let columns: Vec<Column> = paths(network).iter().map(column).collect();
-    maximise(&columns, &limits).iter().sum()
+    maximize(&columns, &limits).iter().sum()
 }
 
-/// The least capacity that separates the ends, over every set of holders on the near side.
-fn by_cuts(network: &Network) -> f64 {
+/// Returns the minimum cut by enumerating all sets of holders on the source side.
+fn minimum_cut(network: &Network) -> f64 {
     let starts: Vec<usize> = network
         .holders
         .iter()
@@ -57,7 +57,7 @@
         })
         .collect();
     let count: usize = network.holders.iter().map(Vec::len).sum();
-    // Two bits a holder: whether its way in and its way out are on the near side.
+    // Two bits for each holder: whether its input and its output are on the source side.
     let cut = |sides: u32| {
         let near = |segment: usize, holder: usize, out: usize| {
             sides >> (2 * (starts[segment] + holder) + out) & 1 == 1
@@ -89,7 +89,7 @@
 }
 
 /// Engines that hold one segment each, with links of any capacity.
-fn apart() -> impl Strategy<Value = Network> {
+fn disjoint() -> impl Strategy<Value = Network> {
     let sizes = prop::collection::vec(1..3_usize, 1..4);
     sizes.prop_flat_map(|sizes| {
         let count: usize = sizes.iter().sum();
@@ -125,14 +125,14 @@
     })
 }
 
-/// Engines that hold several segments, with links of any capacity or none that binds.
-fn overlapping(scarce: bool) -> impl Strategy<Value = Network> {
+/// Engines that hold several segments, with links that are limited or unlimited.
+fn overlapping(limiting: bool) -> impl Strategy<Value = Network> {
     let engine = (0..3_usize, 1..4_usize, 1..100_u32);
     let engines = prop::collection::vec(engine, 1..5);
     let layers = prop::collection::vec(1..5_u32, 3);
     let links = prop::collection::vec(1..60_u32, 2 * 7 * 7);
     (engines, layers, links).prop_map(move |(engines, layers, links)| {
-        // Three engines hold a segment each, so that none is without a holder.
+        // Three engines hold one segment each, so that every segment has a holder.
         let mut held: Vec<(usize, usize, u32)> = (0..3).map(|first| (first, 1, 20)).collect();
         held.extend(engines);
         let holders: Vec<Vec<usize>> = (0..3)
@@ -147,7 +147,7 @@
             .collect();
         let mut links = links.into_iter().map(|link| f64::from(link) * 4.0);
         let mut link = |from: usize, to: usize| match links.next() {
-            Some(link) if scarce && from != to => link,
+            Some(link) if limiting && from != to => link,
             _ => f64::INFINITY,
         };
         let links = holders
@@ -178,22 +178,22 @@
 
 proptest! {
     #[test]
-    fn without_overlap_it_is_the_least_cut(network in apart()) {
-        let (flow, cut) = (solve(&network), by_cuts(&network));
+    fn without_overlap_the_bound_is_the_minimum_cut(network in disjoint()) {
+        let (flow, cut) = (solve(&network), minimum_cut(&network));
         prop_assert!(near(flow, cut), "{flow} against {cut}");
-        let program = by_paths(&network);
+        let program = solve_over_paths(&network);
         prop_assert!(near(flow, program), "{flow} against {program}");
     }
 
     #[test]
-    fn with_overlap_and_quick_links_it_is_exact(network in overlapping(false)) {
-        let (flow, program) = (solve(&network), by_paths(&network));
+    fn with_overlap_and_fast_links_the_bound_is_exact(network in overlapping(false)) {
+        let (flow, program) = (solve(&network), solve_over_paths(&network));
         prop_assert!(near(flow, program), "{flow} against {program}");
     }
 
     #[test]
-    fn with_overlap_and_scarce_links_it_is_exact(network in overlapping(true)) {
-        let (flow, program) = (solve(&network), by_paths(&network));
+    fn with_overlap_and_limiting_links_the_bound_is_exact(network in overlapping(true)) {
+        let (flow, program) = (solve(&network), solve_over_paths(&network));
         prop_assert!(near(flow, program), "{flow} against {program}");
     }
 }
--- a/src/routing/tests/speed.rs
+++ b/src/routing/tests/speed.rs
@@ -1,4 +1,4 @@
-//! How long plans and changes take; bounds hold for optimised builds only.
+//! Duration of plans and changes. The limits are asserted in optimized builds only.
 
 use std::time::Instant;
 
@@ -8,9 +8,10 @@
 use super::fleet::{Fleet, Spec};
 use super::throughput::four_kinds;
 
-const LEAST_PLANS: u32 = 2_000;
+const MIN_PLANS: u32 = 2_000;
 
-/// Mean time of a plan with its release, and longest time of a tick after changes.
+/// Returns the mean time of a plan in microseconds and the longest tick after changes in
+/// milliseconds.
 fn measure(spec: Spec) -> (f64, f64) {
     let mut fleet = Fleet::new(Spec { entries: 1, ..spec }, FlowWeighted, 1);
     let mut longest_ms: f64 = 0.0;
@@ -22,7 +23,7 @@
     let mut planned: Vec<StreamId> = Vec::new();
     let mut plans = 0;
     let start = Instant::now();
-    while plans < LEAST_PLANS {
+    while plans < MIN_PLANS {
         plans += 1;
         match fleet.plan(0, 1_000) {
             Ok(new) => planned.push(new.stream),
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn plans_are_quick() {
+fn plans_are_fast() {
     for (times, most_us) in [(1, 50.0), (10, 200.0)] {
         let (plan_us, longest_ms) = measure(larger(times));
         println!(
--- a/src/routing/tests/throughput.rs
+++ b/src/routing/tests/throughput.rs
@@ -1,4 +1,4 @@
-//! Throughput of the policies against the bound, in the small simulation.
+//! Throughput of the policies relative to the bound, in the fleet simulation.
 
 use crate::routing::{FlowWeighted, LeastOutstanding, Policy, RandomChoice, RoundRobin};
 use crate::wire::engine::LinkState;
@@ -22,7 +22,7 @@
     }
 }
 
-/// Two kinds joined by slow links, the rest by quick ones.
+/// Slow links between some kinds of engines and fast ones between the others.
 fn links(from: &Kind, to: &Kind) -> LinkState {
     let (delay_us, bandwidth_bytes_per_s) = match (from.name, to.name) {
         ("large", "large") => (100, 400_000_000),
@@ -65,7 +65,8 @@
     }
 }
 
-/// Like a deployment with three kinds, one of which holds overlapping ranges.
+/// Sizes and rates like those of a deployment with three kinds of engines, one of which has
+/// overlapping ranges.
 fn three_kinds() -> Spec {
     Spec {
         kinds: vec![
@@ -102,7 +103,7 @@
     outcome.to_bound()
 }
 
-/// The product's policy comes near the bound and ahead of every baseline.
+/// Asserts that the default policy comes close to the bound and outperforms every baseline.
 fn assert_order(spec: &Spec) {
     let flow = run(spec, FlowWeighted);
     let baselines = [
