--- a/src/claims/machine.rs
+++ b/src/claims/machine.rs
@@ -1,7 +1,7 @@
 //! One attempt to run a non-idempotent call, from the first write to the recorded answer.
 
 use super::key::{check_key, row_key};
-use super::message::{ClaimAsk, ClaimEffect, ClaimMessage};
+use super::message::{ClaimEffect, ClaimMessage, ClaimRequest};
 use super::row::{ClaimRow, ClaimState};
 use crate::clients::TableFailure;
 use crate::invariant;
@@ -32,7 +32,7 @@
 /// One attempt. Dispatches at most once, and only after its own claim is surely in the table.
 #[derive(Debug)]
 pub struct Claim {
-    pub(super) ask: ClaimAsk,
+    pub(super) ask: ClaimRequest,
     pub(super) row_key: String,
     pub(super) begun_ms: u64,
     pub(super) step: Step,
@@ -101,7 +101,7 @@
 
 impl Claim {
     /// Begins an attempt. The first effect is the write of the claim, or a refusal.
-    pub fn begin(ask: ClaimAsk, now_ms: u64) -> (Self, Vec<ClaimEffect>) {
+    pub fn begin(ask: ClaimRequest, now_ms: u64) -> (Self, Vec<ClaimEffect>) {
         let row_key = row_key(&ask.service, &ask.account, &ask.key);
         let mut claim = Self {
             ask,
@@ -139,7 +139,7 @@
     /// Whether this attempt holds the row or may hold it: what the holder answers when asked.
     ///
     /// False for an attempt that found another's row, and for one that is done.
-    pub fn holds(&self) -> bool {
+    pub fn may_hold_row(&self) -> bool {
         match self.step {
             Step::Claiming { .. }
             | Step::Dispatched { .. }
@@ -150,7 +150,7 @@
     }
 
     /// Whether the caller still waits for a word from this attempt or its endpoint.
-    pub fn caller_waits(&self) -> bool {
+    pub fn is_caller_waiting(&self) -> bool {
         !self.told
     }
 
--- a/src/claims/message.rs
+++ b/src/claims/message.rs
@@ -24,7 +24,7 @@
 
 /// One attempt to run a non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ClaimAsk {
+pub struct ClaimRequest {
     /// The account that asks.
     pub account: AccountId,
     /// The service called.
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -14,7 +14,7 @@
 
 pub use key::{CLAIM_PREFIX, CLOCK_MARGIN_MS, KEY_MEMORY_MS, OTHER_KEY_MEMORY_MS, row_key};
 pub use machine::Claim;
-pub use message::{ClaimAsk, ClaimEffect, ClaimHolder, ClaimMessage};
+pub use message::{ClaimEffect, ClaimHolder, ClaimMessage, ClaimRequest};
 pub use row::{
     ANSWER_LIMIT_BYTES, ClaimRow, ClaimState, RecordedBody, RecordedReply, RowUnreadable,
 };
--- a/src/claims/tests/cases.rs
+++ b/src/claims/tests/cases.rs
@@ -12,9 +12,9 @@
 use crate::outcome::{Outcome, Refusal, RefusalCode};
 use crate::wire::platform::{Row, Rows, TransactReply, Transaction};
 
-fn ask(attempt: u128) -> ClaimAsk {
+fn ask(attempt: u128) -> ClaimRequest {
     let incarnation = serde_json::from_str("\"00000000-0000-0000-0000-000000000009\"");
-    ClaimAsk {
+    ClaimRequest {
         account: AccountId::from("grill-chain"),
         service: ServiceName::from("ledger-api"),
         key: IdempotencyKey::from("count-1"),
@@ -52,7 +52,7 @@
 }
 
 /// An attempt whose claim is in the table and that was told to dispatch.
-fn dispatched(table: &mut Table, ask: ClaimAsk) -> Claim {
+fn dispatched(table: &mut Table, ask: ClaimRequest) -> Claim {
     let (mut claim, effects) = Claim::begin(ask, 0);
     assert_eq!(write(table, &mut claim, &effects), [ClaimEffect::Dispatch]);
     claim
@@ -178,7 +178,7 @@
     let (mut claim, effects) = Claim::begin(ask(2), 0);
     let effects = write(table, &mut claim, &effects);
     assert!(matches!(effects[..], [ClaimEffect::AskHolder { .. }]));
-    assert!(!claim.holds());
+    assert!(!claim.may_hold_row());
     let effects = claim.handle(ClaimMessage::HolderAnswered(working), 2);
     match effects[..] {
         [ClaimEffect::Transact(_)] => write(table, &mut claim, &effects),
--- a/src/claims/tests/world.rs
+++ b/src/claims/tests/world.rs
@@ -161,7 +161,7 @@
     /// A caller asks one process; returns the attempt's index.
     pub(super) fn ask(&mut self, process: usize, key: &IdempotencyKey, body: u8) -> usize {
         let incarnation = self.processes[process].incarnation;
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             account: AccountId::from("grill-chain"),
             service: ServiceName::from("ledger-api"),
             key: key.clone(),
@@ -319,7 +319,7 @@
         let works = |attempt: &Attempt| {
             attempt.incarnation == asked
                 && attempt.claim.row_key() == row_key
-                && attempt.claim.holds()
+                && attempt.claim.may_hold_row()
         };
         Some(process.incarnation == asked && self.attempts.iter().any(works))
     }
--- a/src/entry/claimed.rs
+++ b/src/entry/claimed.rs
@@ -7,7 +7,7 @@
 
 use super::attempt::{Attempt, AttemptId, Repeat, Work};
 use super::machine::{Call, Entry, Flow};
-use crate::claims::{Claim, ClaimAsk, ClaimEffect, ClaimHolder, ClaimMessage};
+use crate::claims::{Claim, ClaimEffect, ClaimHolder, ClaimMessage, ClaimRequest};
 use crate::clients::TableFailure;
 use crate::ids::Incarnation;
 use crate::instance::{
@@ -42,7 +42,7 @@
             self.refuse(attempt, RefusalCode::MissingHeader, now_ms);
             return Flow::Ended;
         };
-        let ask = ClaimAsk {
+        let ask = ClaimRequest {
             account: attempt.key.account.clone(),
             service: attempt.service.clone(),
             key,
@@ -257,7 +257,7 @@
     pub(super) fn holds(&self, incarnation: Incarnation, row_key: &str) -> bool {
         let mut open = self.claims.values();
         incarnation == self.config.incarnation
-            && open.any(|open| open.claim.row_key() == row_key && open.claim.holds())
+            && open.any(|open| open.claim.row_key() == row_key && open.claim.may_hold_row())
     }
 
     /// Wakes the claims whose time has come.
