--- a/src/chain/blame.rs
+++ b/src/chain/blame.rs
@@ -83,11 +83,11 @@
     if !dead.is_empty() {
         return Blame::Dead(dead);
     }
-    let lost = indexes(answers, |answer| answer == ProbeAnswer::NotKnown);
+    let lost = indexes(answers, |answer| answer == ProbeAnswer::UnknownStream);
     if known.held > known.start && !lost.is_empty() {
         return Blame::Lost(lost);
     }
-    if answers.first() == Some(&ProbeAnswer::NotKnown) {
+    if answers.first() == Some(&ProbeAnswer::UnknownStream) {
         return Blame::Connection;
     }
     let positions = positions(answers, known);
--- a/src/chain/machine.rs
+++ b/src/chain/machine.rs
@@ -5,7 +5,9 @@
 use indexmap::IndexMap;
 
 use super::blame::Round;
-use super::message::{ChainEffect, ChainMessage, ChainSpec, DropCause, Expected, ProbeAnswer};
+use super::message::{
+    ChainEffect, ChainMessage, ChainSpec, DropCause, ExpectedTiming, ProbeAnswer,
+};
 use super::pace::Pace;
 use crate::ids::EndpointId;
 use crate::routing::NoRoute;
@@ -82,7 +84,7 @@
     pub(crate) fn begin(
         spec: ChainSpec,
         stages: Vec<Stage>,
-        expected: Expected,
+        expected: ExpectedTiming,
         now_ms: u64,
     ) -> (Self, Vec<ChainEffect>) {
         let mut chain = Self {
--- a/src/chain/message.rs
+++ b/src/chain/message.rs
@@ -31,7 +31,7 @@
 
 /// What the engines' own history lets a chain expect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Expected {
+pub(crate) struct ExpectedTiming {
     /// Time between two tokens.
     pub(crate) gap_ms: f64,
     /// Mean deviation of that.
@@ -48,7 +48,7 @@
     /// No answer in time, or no connection.
     Unreachable,
     /// It does not know the stream.
-    NotKnown,
+    UnknownStream,
     /// How far it is.
     Progress(StreamProgress),
 }
@@ -61,7 +61,7 @@
         /// The stages, in layer order.
         stages: Vec<Stage>,
         /// What to expect of them.
-        expected: Expected,
+        expected: ExpectedTiming,
     },
     /// No stages could be chosen.
     NoRoute {
--- a/src/chain/mod.rs
+++ b/src/chain/mod.rs
@@ -14,5 +14,7 @@
 mod watch;
 
 pub(crate) use machine::Chain;
-pub(crate) use message::{ChainEffect, ChainMessage, ChainSpec, DropCause, Expected, ProbeAnswer};
-pub(crate) use pace::{Average, PrefillHistory, ProbeHistory};
+pub(crate) use message::{
+    ChainEffect, ChainMessage, ChainSpec, DropCause, ExpectedTiming, ProbeAnswer,
+};
+pub(crate) use pace::{MovingAverage, PrefillHistory, ProbeHistory};
--- a/src/chain/pace.rs
+++ b/src/chain/pace.rs
@@ -4,13 +4,13 @@
 //! dead: the expected gap times a factor, plus a multiple of its mean deviation, as TCP's
 //! retransmission timer does (RFC 6298).
 
-use super::message::Expected;
+use super::message::ExpectedTiming;
 
 /// Shortest wait; below it the scheduling noise of small instances would be probed.
 const FLOOR_MS: f64 = 40.0;
 /// Longest wait.
 const CEILING_MS: f64 = 2_000.0;
-/// Expected gaps without a token before a probe.
+/// ExpectedTiming gaps without a token before a probe.
 const GAP_FACTOR: f64 = 2.0;
 /// Mean deviations added.
 const DEVIATION_FACTOR: f64 = 4.0;
@@ -35,14 +35,14 @@
 
 /// Mean and mean deviation of a series, both exponentially weighted.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Average {
+pub(crate) struct MovingAverage {
     mean: f64,
     deviation: f64,
     /// Whether it is still the guess it started from.
     guessed: bool,
 }
 
-impl Average {
+impl MovingAverage {
     /// Starts from a guess.
     pub(crate) fn new(mean: f64) -> Self {
         Self {
@@ -68,7 +68,7 @@
     }
 
     /// The mean times a factor, and [`DEVIATION_FACTOR`] deviations.
-    pub(crate) fn upper(&self, factor: f64) -> f64 {
+    pub(crate) fn upper_bound(&self, factor: f64) -> f64 {
         self.mean * factor + self.deviation * DEVIATION_FACTOR
     }
 }
@@ -76,18 +76,18 @@
 /// The pace of one epoch of one chain.
 #[derive(Clone, Debug)]
 pub(crate) struct Pace {
-    planned: Expected,
-    gap: Average,
+    planned: ExpectedTiming,
+    gap: MovingAverage,
     /// Late gaps since the last one that was in time.
     late_in_row: u32,
 }
 
 impl Pace {
     /// Starts from what the chosen engines let expect.
-    pub(crate) fn new(planned: Expected) -> Self {
+    pub(crate) fn new(planned: ExpectedTiming) -> Self {
         Self {
             planned,
-            gap: Average {
+            gap: MovingAverage {
                 mean: planned.gap_ms,
                 deviation: planned.deviation_ms,
                 guessed: true,
@@ -122,7 +122,7 @@
     /// the same factor.
     pub(crate) fn next_timeout_ms(&self, gap_ms: f64) -> u64 {
         let slower = (gap_ms / self.planned.gap_ms.max(1.0)).max(1.0);
-        let wait = self.gap.upper(GAP_FACTOR) * slower;
+        let wait = self.gap.upper_bound(GAP_FACTOR) * slower;
         wait.clamp(FLOOR_MS, CEILING_MS) as u64
     }
 
@@ -156,13 +156,13 @@
 /// How long prompts took to their first token, per token of prompt.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PrefillHistory {
-    per_token_ms: Average,
+    per_token_ms: MovingAverage,
 }
 
 impl Default for PrefillHistory {
     fn default() -> Self {
         Self {
-            per_token_ms: Average::new(PREFILL_MS_PER_TOKEN),
+            per_token_ms: MovingAverage::new(PREFILL_MS_PER_TOKEN),
         }
     }
 }
@@ -181,7 +181,7 @@
 
     /// Longest time to be expected for the first token after computing `tokens`.
     pub(crate) fn expected_ms(&self, tokens: u32) -> f64 {
-        self.per_token_ms.upper(1.0) * (f64::from(tokens) + PREFILL_FIXED_TOKENS)
+        self.per_token_ms.upper_bound(1.0) * (f64::from(tokens) + PREFILL_FIXED_TOKENS)
     }
 }
 
@@ -189,13 +189,13 @@
 /// instance, a stage is not taken for dead because its answer is slow too.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ProbeHistory {
-    took_ms: Average,
+    took_ms: MovingAverage,
 }
 
 impl Default for ProbeHistory {
     fn default() -> Self {
         Self {
-            took_ms: Average::new(PROBE_GUESS_MS),
+            took_ms: MovingAverage::new(PROBE_GUESS_MS),
         }
     }
 }
@@ -208,6 +208,6 @@
 
     /// Longest time to be expected.
     pub(crate) fn expected_ms(&self) -> f64 {
-        self.took_ms.upper(PROBE_FACTOR)
+        self.took_ms.upper_bound(PROBE_FACTOR)
     }
 }
--- a/src/chain/rebuild.rs
+++ b/src/chain/rebuild.rs
@@ -1,7 +1,7 @@
 //! Epochs: opening one, giving one up, and looking for the stages of the next.
 
 use super::machine::{Chain, State};
-use super::message::{ChainEffect, Expected};
+use super::message::{ChainEffect, ExpectedTiming};
 use super::pace::Pace;
 use crate::ids::EndpointId;
 use crate::instance::StreamFailure;
@@ -31,7 +31,7 @@
     pub(super) fn open(
         &mut self,
         stages: Vec<Stage>,
-        expected: Expected,
+        expected: ExpectedTiming,
         now_ms: u64,
         effects: &mut Vec<ChainEffect>,
     ) {
--- a/src/chain/tests/harness.rs
+++ b/src/chain/tests/harness.rs
@@ -4,7 +4,7 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use crate::chain::{Chain, ChainEffect, ChainMessage, ChainSpec, Expected, ProbeAnswer};
+use crate::chain::{Chain, ChainEffect, ChainMessage, ChainSpec, ExpectedTiming, ProbeAnswer};
 use crate::ids::{EndpointId, StreamId};
 use crate::instance::Deadline;
 use crate::routing::NoRoute;
@@ -13,7 +13,7 @@
 };
 
 pub(super) const MAX_TOKENS: u32 = 8;
-const EXPECTED: Expected = Expected {
+const EXPECTED: ExpectedTiming = ExpectedTiming {
     gap_ms: 20.0,
     deviation_ms: 5.0,
     first_ms: 100.0,
--- a/src/chain/tests/orders.rs
+++ b/src/chain/tests/orders.rs
@@ -102,7 +102,7 @@
 fn probe_answer(kind: u8, epoch: u32, held: u32) -> ProbeAnswer {
     let position = match kind {
         0 => return ProbeAnswer::Unreachable,
-        1 => return ProbeAnswer::NotKnown,
+        1 => return ProbeAnswer::UnknownStream,
         2 => held,
         3 => held + 1,
         _ => held + 2,
@@ -137,7 +137,7 @@
                 break;
             }
             harness.wake();
-            harness.answer_probes(&[ProbeAnswer::NotKnown; 3]);
+            harness.answer_probes(&[ProbeAnswer::UnknownStream; 3]);
             let whole = harness.held() == super::harness::MAX_TOKENS;
             if whole {
                 harness.end_of(harness.epoch(), harness.held());
--- a/src/chain/tests/recovery.rs
+++ b/src/chain/tests/recovery.rs
@@ -193,7 +193,7 @@
     let mut harness = running();
     harness.wake();
     let alive = harness.at(2);
-    harness.answer_probes(&[alive, ProbeAnswer::NotKnown, alive]);
+    harness.answer_probes(&[alive, ProbeAnswer::UnknownStream, alive]);
     assert_eq!(faults(&harness), []);
     let expected = named([("a0", true), ("b0", true), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
@@ -323,7 +323,11 @@
     for _ in 0..3 {
         harness.wake();
         let queued = harness.at(0);
-        harness.answer_probes(&[queued, ProbeAnswer::NotKnown, ProbeAnswer::NotKnown]);
+        harness.answer_probes(&[
+            queued,
+            ProbeAnswer::UnknownStream,
+            ProbeAnswer::UnknownStream,
+        ]);
     }
     assert_eq!(harness.epoch(), 1);
 }
@@ -335,7 +339,7 @@
     while harness.epoch() == epoch {
         harness.wake();
         let done = harness.at(harness.held() + 1);
-        harness.answer_probes(&[done, ProbeAnswer::NotKnown, ProbeAnswer::NotKnown]);
+        harness.answer_probes(&[done, ProbeAnswer::UnknownStream, ProbeAnswer::UnknownStream]);
     }
     harness.now_ms - begun_ms
 }
--- a/src/entry/applications.rs
+++ b/src/entry/applications.rs
@@ -3,7 +3,7 @@
 use super::attempt::{ApplicationCall, Attempt, Repeat, Replica, Work};
 use super::book::Answer;
 use super::machine::{Call, Entry, Flow};
-use crate::chain::Average;
+use crate::chain::MovingAverage;
 use crate::instance::{ApplicationFailure, ApplicationReply, CallId, EntryEffect};
 use crate::outcome::{Outcome, RefusalCode};
 use crate::routing::{EndpointFault, NoRoute, Policy};
@@ -100,8 +100,8 @@
         let times = self.call_times_ms.get(&attempt.service);
         let usual = times
             .copied()
-            .unwrap_or_else(|| Average::new(CALL_GUESS_MS));
-        let usual_ms = usual.upper(CALL_FACTOR) as u64;
+            .unwrap_or_else(|| MovingAverage::new(CALL_GUESS_MS));
+        let usual_ms = usual.upper_bound(CALL_FACTOR) as u64;
         let left_ms = attempt.deadline.map(|it| it.at_ms.saturating_sub(now_ms));
         let wait_ms = usual_ms.min(left_ms.unwrap_or(CALL_TIMEOUT_MS));
         wait_ms.clamp(CALL_FLOOR_MS, CALL_TIMEOUT_MS)
@@ -152,7 +152,7 @@
         let took_ms = now_ms.saturating_sub(work.sent_at_ms) as f64;
         let times = self.call_times_ms.entry(attempt.service.clone());
         times
-            .or_insert_with(|| Average::new(CALL_GUESS_MS))
+            .or_insert_with(|| MovingAverage::new(CALL_GUESS_MS))
             .add(took_ms);
     }
 
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -5,7 +5,7 @@
 use super::attempt::{Attempt, AttemptId, Completion, Work};
 use super::book::Answer;
 use super::machine::{Call, Entry, Flow};
-use crate::chain::{Chain, ChainEffect, ChainMessage, ChainSpec, DropCause, Expected};
+use crate::chain::{Chain, ChainEffect, ChainMessage, ChainSpec, DropCause, ExpectedTiming};
 use crate::document::ModelOffer;
 use crate::ids::{EndpointId, ServiceName};
 use crate::instance::EntryEffect;
@@ -78,9 +78,9 @@
         Err(failure)
     }
 
-    fn expected(&self, model: &str, stages: &[Stage], tokens: u32) -> Expected {
+    fn expected(&self, model: &str, stages: &[Stage], tokens: u32) -> ExpectedTiming {
         let history = self.prefill.get(model).copied().unwrap_or_default();
-        Expected {
+        ExpectedTiming {
             gap_ms: self.router.expected_gap_ms(stages),
             deviation_ms: self.router.gap_deviation_ms(stages),
             first_ms: history.expected_ms(tokens),
--- a/src/entry/machine.rs
+++ b/src/entry/machine.rs
@@ -15,7 +15,7 @@
 use super::directory::Directory;
 use super::streams::probe_answer;
 use crate::admission::Admission;
-use crate::chain::{Average, PrefillHistory, ProbeHistory};
+use crate::chain::{MovingAverage, PrefillHistory, ProbeHistory};
 use crate::ids::{EndpointId, ServiceName};
 use crate::instance::{CallId, CallerId, EntryEffect, EntryMessage};
 use crate::routing::{Policy, PollKind, Router};
@@ -67,7 +67,7 @@
     pub(super) prefill: IndexMap<String, PrefillHistory>,
     pub(super) probe_times: ProbeHistory,
     /// How long calls of application services take.
-    pub(super) call_times_ms: IndexMap<ServiceName, Average>,
+    pub(super) call_times_ms: IndexMap<ServiceName, MovingAverage>,
     /// Services whose endpoints were found full since something last changed.
     pub(super) full: IndexSet<ServiceName>,
     /// Whether a queued request may have become dispatchable.
--- a/src/entry/streams.rs
+++ b/src/entry/streams.rs
@@ -137,7 +137,7 @@
 pub(super) fn probe_answer(progress: Option<StreamProgress>, reachable: bool) -> ProbeAnswer {
     match progress {
         Some(progress) => ProbeAnswer::Progress(progress),
-        None if reachable => ProbeAnswer::NotKnown,
+        None if reachable => ProbeAnswer::UnknownStream,
         None => ProbeAnswer::Unreachable,
     }
 }
