--- a/src/chain/blame.rs
+++ b/src/chain/blame.rs
@@ -1,40 +1,40 @@
-//! Which stage of a silent chain is at fault, from what its stages say when probed.
+//! Determines which stage of a silent chain is at fault from the stages' probe results.
 
 use super::message::ProbeAnswer;
 
-/// What the answers of a round of probes say.
+/// Cause of a silent chain, as indicated by one probe round.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Blame {
-    /// These stages gave no answer.
-    Dead(Vec<usize>),
-    /// These stages answer but have lost the stream.
-    Lost(Vec<usize>),
-    /// The first stage never heard of the stream: the connection to it is silent.
-    Connection,
-    /// Every stage has finished what the entry waits for: the connection to the first one is silent,
-    /// or the link by which the last one hands the token back to it.
+    /// These stages did not answer.
+    Unreachable(Vec<usize>),
+    /// These stages answer but no longer know the stream.
+    StreamLost(Vec<usize>),
+    /// The first stage never received the stream: the connection to it is silent.
+    ConnectionSilent,
+    /// Every stage has finished the position that the entry waits for: either the connection to the
+    /// first stage is silent, or the link on which the last stage returns the token to it.
     Undelivered,
-    /// No stage has moved; this one, or the link to it, holds the chain up.
-    Stuck(usize),
-    /// No stage has moved, and this one has not heard of the epoch though the one before it has
-    /// finished a position: nothing comes over the link between the two.
-    Unreached(usize),
-    /// Stages move; this one, or the link to it, is behind.
-    Behind(usize),
+    /// No stage has made progress; this one, or the link to it, blocks the chain.
+    Stalled(usize),
+    /// No stage has made progress, and this one has not seen the epoch although the stage before it
+    /// has finished a position: the link between the two delivers nothing.
+    LinkSilent(usize),
+    /// The stages make progress; this one, or the link to it, is behind.
+    Lagging(usize),
 }
 
-/// One round of probes: all stages at once.
+/// One probe round: every stage is probed at once.
 #[derive(Clone, Debug)]
-pub(crate) struct Round {
-    /// Number; grows over the life of a chain.
+pub(crate) struct ProbeRound {
+    /// Round number; increases over the lifetime of a chain.
     pub(crate) number: u32,
-    /// When stages that have not answered count as unreachable.
+    /// Time at which stages that have not answered count as unreachable.
     pub(crate) until_ms: u64,
     answers: Vec<Option<ProbeAnswer>>,
 }
 
-impl Round {
-    /// Starts a round over `stages` stages.
+impl ProbeRound {
+    /// Starts a round for a chain of `stages` stages.
     pub(crate) fn new(number: u32, stages: usize, until_ms: u64) -> Self {
         Self {
             number,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Notes an answer; the first one of a stage counts.
+    /// Records an answer; only the first one of a stage counts.
     pub(crate) fn add(&mut self, stage: usize, answer: ProbeAnswer) {
         if let Some(slot) = self.answers.get_mut(stage) {
             slot.get_or_insert(answer);
@@ -55,7 +55,7 @@
         self.answers.iter().all(Option::is_some)
     }
 
-    /// The answers; a missing one counts as unreachable.
+    /// Returns the answers; a missing one counts as unreachable.
     pub(crate) fn into_answers(self) -> Vec<ProbeAnswer> {
         self.answers
             .into_iter()
@@ -64,50 +64,53 @@
     }
 }
 
-/// What the entry knows of the epoch that is judged.
+/// The entry's state of the probed epoch.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Known<'a> {
-    /// The epoch.
+pub(crate) struct EpochContext<'a> {
+    /// Epoch number.
     pub(crate) epoch: u32,
-    /// Tokens held when it was opened: positions that no stage has to finish.
-    pub(crate) start: u32,
-    /// Tokens held now.
-    pub(crate) held: u32,
-    /// Answers of the round before, if no token came since.
-    pub(crate) before: Option<&'a [ProbeAnswer]>,
+    /// Tokens delivered before the epoch was opened: positions that no stage has to finish.
+    pub(crate) start_position: u32,
+    /// Tokens delivered so far.
+    pub(crate) delivered: u32,
+    /// Answers of the previous round, if no token has arrived since.
+    pub(crate) previous: Option<&'a [ProbeAnswer]>,
 }
 
-/// Judges a round of probes.
-pub(crate) fn judge(answers: &[ProbeAnswer], known: Known<'_>) -> Blame {
-    let dead = indexes(answers, |answer| answer == ProbeAnswer::Unreachable);
-    if !dead.is_empty() {
-        return Blame::Dead(dead);
+/// Determines the cause of the silence from the answers of a probe round.
+pub(crate) fn diagnose(answers: &[ProbeAnswer], context: EpochContext<'_>) -> Blame {
+    let unreachable = indexes(answers, |answer| answer == ProbeAnswer::Unreachable);
+    if !unreachable.is_empty() {
+        return Blame::Unreachable(unreachable);
     }
     let lost = indexes(answers, |answer| answer == ProbeAnswer::UnknownStream);
-    if known.held > known.start && !lost.is_empty() {
-        return Blame::Lost(lost);
+    if context.delivered > context.start_position && !lost.is_empty() {
+        return Blame::StreamLost(lost);
     }
     if answers.first() == Some(&ProbeAnswer::UnknownStream) {
-        return Blame::Connection;
+        return Blame::ConnectionSilent;
     }
-    let positions = positions(answers, known);
+    let positions = positions(answers, context);
     let behind = first_behind(&positions);
-    let moved = known.before.is_none_or(|before| before != answers);
-    if moved {
-        return Blame::Behind(behind);
+    let progressed = context.previous.is_none_or(|previous| previous != answers);
+    if progressed {
+        return Blame::Lagging(behind);
     }
-    if positions.iter().all(|position| *position > known.held) {
+    if positions
+        .iter()
+        .all(|position| *position > context.delivered)
+    {
         return Blame::Undelivered;
     }
-    if behind > 0 && !has_heard(answers[behind], known) {
-        return Blame::Unreached(behind);
+    if behind > 0 && !has_seen_epoch(answers[behind], context) {
+        return Blame::LinkSilent(behind);
     }
-    Blame::Stuck(behind)
+    Blame::Stalled(behind)
 }
 
-/// Whether a stage has heard of the epoch, be it that it waits for a slot there.
-fn has_heard(answer: ProbeAnswer, known: Known<'_>) -> bool {
-    matches!(answer, ProbeAnswer::Progress(it) if it.epoch == known.epoch)
+/// Whether a stage has seen the epoch, even if its work still waits for a slot there.
+fn has_seen_epoch(answer: ProbeAnswer, context: EpochContext<'_>) -> bool {
+    matches!(answer, ProbeAnswer::Progress(progress) if progress.epoch == context.epoch)
 }
 
 fn indexes<F>(answers: &[ProbeAnswer], holds: F) -> Vec<usize>
@@ -120,18 +123,20 @@
         .collect()
 }
 
-/// Positions finished in the epoch; those before its start count for a stage that has not heard of
-/// it yet.
-fn positions(answers: &[ProbeAnswer], known: Known<'_>) -> Vec<u32> {
+/// Finished positions per stage. For a stage that has not seen the epoch yet, the positions before
+/// the epoch's start count as finished.
+fn positions(answers: &[ProbeAnswer], context: EpochContext<'_>) -> Vec<u32> {
     let finished = |answer: &ProbeAnswer| match answer {
-        ProbeAnswer::Progress(it) if has_heard(*answer, known) => it.position.max(known.start),
-        _ => known.start,
+        ProbeAnswer::Progress(progress) if has_seen_epoch(*answer, context) => {
+            progress.position.max(context.start_position)
+        }
+        _ => context.start_position,
     };
     answers.iter().map(finished).collect()
 }
 
-/// The first stage that has finished fewer positions than the one before it. If there is none, the
-/// first stage waits for a token that the last one has made: it is behind.
+/// Returns the first stage that has finished fewer positions than the one before it. If there is
+/// none, the first stage is behind: it waits for a token that the last stage has produced.
 fn first_behind(positions: &[u32]) -> usize {
     let pairs = positions.windows(2);
     let found = pairs.into_iter().position(|pair| pair[1] < pair[0]);
--- a/src/chain/machine.rs
+++ b/src/chain/machine.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::blame::Round;
+use super::blame::ProbeRound;
 use super::message::{
     ChainEffect, ChainMessage, ChainSpec, DropCause, ExpectedTiming, ProbeAnswer,
 };
@@ -13,17 +13,17 @@
 use crate::routing::NoRoute;
 use crate::wire::engine::{EndReason, LayerRange, Stage, StreamEvent};
 
-/// Most rebuilds of one chain because it is slow.
-const SLOW_REBUILDS: u32 = 2;
+/// Maximum number of times one chain is rebuilt for slowness.
+const MAX_SLOW_REBUILDS: u32 = 2;
 
-/// Where a chain stands.
+/// Lifecycle state of a chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum State {
-    /// Waits for stages; asks again at this time.
+    /// Waits for stages; requests them again at `retry_at_ms`.
     Routing { retry_at_ms: u64 },
     /// The stream of the current epoch is open.
     Open,
-    /// Nothing follows.
+    /// Terminal state.
     Ended,
 }
 
@@ -32,55 +32,56 @@
 pub(crate) struct Chain {
     pub(super) spec: ChainSpec,
     pub(super) state: State,
-    /// Only grows; 0 before the first stream was opened.
+    /// Increases with each opened stream; 0 before the first one.
     pub(super) epoch: u32,
     /// Stages of the current epoch.
     pub(super) stages: Vec<Stage>,
-    /// Stages that surely hold the KV state of every position in `tokens`, with their layers.
-    pub(super) holding: IndexMap<EndpointId, LayerRange>,
+    /// Stages known to hold the KV state of every position in `tokens`, with their layers.
+    pub(super) kv_holders: IndexMap<EndpointId, LayerRange>,
     /// Whether the next epoch may import KV state.
     pub(super) may_import: bool,
-    /// Whether KV state was found missing since the last token.
+    /// Whether missing KV state was reported since the last token.
     pub(super) kv_missing: bool,
-    /// Tokens handed out, in order; never more than `spec.max_tokens`.
+    /// Delivered tokens in order; never more than `spec.max_tokens`.
     pub(super) tokens: Vec<String>,
-    /// Tokens held when the current epoch was opened.
-    pub(super) start: u32,
-    /// Stages of earlier epochs still to be cancelled. That waits for the first token of the epoch
-    /// that replaced them: until then their KV state may be imported, and a cancelled first stage
-    /// would take the state of those that stay with it.
-    pub(super) to_cancel: Vec<(SocketAddr, u32)>,
-    /// Stages that named another as unreachable since the last token.
-    pub(super) accusers: Vec<EndpointId>,
+    /// Number of tokens delivered before the current epoch was opened.
+    pub(super) start_position: u32,
+    /// Replaced stages of earlier epochs that are still to be cancelled. They are cancelled at the
+    /// first token of the epoch that replaced them: until then their KV state may be imported, and
+    /// cancelling a first stage would also discard the state of the stages that are kept.
+    pub(super) uncancelled: Vec<(SocketAddr, u32)>,
+    /// Stages that reported another stage as unreachable since the last token.
+    pub(super) unreachable_reporters: Vec<EndpointId>,
     pub(super) pace: Pace,
     pub(super) opened_at_ms: u64,
-    /// When the last token came, or the chain began.
-    pub(super) progress_at_ms: u64,
-    /// When silence becomes suspicious.
-    pub(super) suspect_at_ms: u64,
-    pub(super) round: Option<Round>,
-    pub(super) rounds: u32,
-    /// Whether the current epoch's stream has surely ended without a last word, so that it must be
-    /// opened again whatever the probes say.
-    pub(super) broken: bool,
-    /// Answers of the last round, if no token came since.
-    pub(super) last_answers: Option<Vec<ProbeAnswer>>,
-    /// Rounds without movement since the last token.
-    pub(super) unmoved_rounds: u32,
-    /// The stage last found behind, and in how many rounds in a row.
-    pub(super) behind: Option<(usize, u32)>,
-    /// Times the chain may still be rebuilt because it is slow. Few, since recomputing adds to the
-    /// load that may be what slows it.
-    pub(super) slow_left: u32,
+    /// When the last token arrived, or the chain started.
+    pub(super) last_token_at_ms: u64,
+    /// When to probe the stages if no token has arrived.
+    pub(super) probe_at_ms: u64,
+    pub(super) probe_round: Option<ProbeRound>,
+    pub(super) probe_rounds: u32,
+    /// Whether the current epoch's stream has ended without an end event, so that a new one must be
+    /// opened regardless of the probe results.
+    pub(super) stream_broken: bool,
+    /// Answers of the last probe round, if no token has arrived since.
+    pub(super) last_probe_answers: Option<Vec<ProbeAnswer>>,
+    /// Probe rounds without progress at any stage since the last token.
+    pub(super) stalled_rounds: u32,
+    /// The stage last found lagging, and in how many consecutive rounds.
+    pub(super) lagging: Option<(usize, u32)>,
+    /// Remaining rebuilds for slowness. Limited because recomputation adds to the load that may be
+    /// the cause of the slowness.
+    pub(super) slow_rebuilds_left: u32,
     /// Rebuilds since the last token.
     pub(super) rebuilds: u32,
-    /// Epochs opened on the same stages since the last token because one did not come.
-    pub(super) reopened: u32,
+    /// Epochs opened on the same stages since the last token because a finished token was not
+    /// delivered.
+    pub(super) reopens: u32,
     pub(super) excluded: Vec<EndpointId>,
 }
 
 impl Chain {
-    /// Starts a completion on its first stages.
+    /// Starts a completion on its initial stages.
     pub(crate) fn begin(
         spec: ChainSpec,
         stages: Vec<Stage>,
@@ -94,26 +95,26 @@
             },
             epoch: 0,
             stages: Vec::new(),
-            holding: IndexMap::new(),
+            kv_holders: IndexMap::new(),
             may_import: true,
             kv_missing: false,
             tokens: Vec::new(),
-            start: 0,
-            to_cancel: Vec::new(),
-            accusers: Vec::new(),
+            start_position: 0,
+            uncancelled: Vec::new(),
+            unreachable_reporters: Vec::new(),
             pace: Pace::new(expected),
             opened_at_ms: now_ms,
-            progress_at_ms: now_ms,
-            suspect_at_ms: now_ms,
-            round: None,
-            rounds: 0,
-            broken: false,
-            last_answers: None,
-            unmoved_rounds: 0,
-            behind: None,
-            slow_left: SLOW_REBUILDS,
+            last_token_at_ms: now_ms,
+            probe_at_ms: now_ms,
+            probe_round: None,
+            probe_rounds: 0,
+            stream_broken: false,
+            last_probe_answers: None,
+            stalled_rounds: 0,
+            lagging: None,
+            slow_rebuilds_left: MAX_SLOW_REBUILDS,
             rebuilds: 0,
-            reopened: 0,
+            reopens: 0,
             excluded: Vec::new(),
         };
         let mut effects = Vec::new();
@@ -126,27 +127,26 @@
         &self.stages
     }
 
-    /// Tokens handed out so far.
+    /// Tokens delivered so far.
     pub(crate) fn tokens(&self) -> &[String] {
         &self.tokens
     }
 
-    /// Takes the tokens out of a chain that has ended.
     pub(crate) fn into_tokens(self) -> Vec<String> {
         self.tokens
     }
 
     /// When the next [`ChainMessage::Wake`] is due.
     pub(crate) fn wake_at_ms(&self) -> Option<u64> {
-        match (self.state, &self.round) {
+        match (self.state, &self.probe_round) {
             (State::Routing { retry_at_ms }, _) => Some(retry_at_ms),
             (State::Open, Some(round)) => Some(round.until_ms),
-            (State::Open, None) => Some(self.suspect_at_ms),
+            (State::Open, None) => Some(self.probe_at_ms),
             (State::Ended, _) => None,
         }
     }
 
-    /// Takes a message.
+    /// Processes a message and returns the resulting effects.
     pub(crate) fn handle(&mut self, message: ChainMessage, now_ms: u64) -> Vec<ChainEffect> {
         let mut effects = Vec::new();
         if self.state == State::Ended {
@@ -175,7 +175,7 @@
         effects
     }
 
-    /// Ends the chain because nobody waits for it, and cancels it at its stages.
+    /// Ends the chain because no caller waits for it, and cancels it at its stages.
     pub(crate) fn abandon(&mut self) -> Vec<ChainEffect> {
         let mut effects = Vec::new();
         if self.state != State::Ended {
@@ -199,7 +199,7 @@
             StreamEvent::Token { position, text, .. } => {
                 self.on_token(position, text, now_ms, effects);
             }
-            // Says that the first stage lives, nothing of progress: the wait goes on.
+            // Shows that the first stage is alive, not that it makes progress: the timeout stays.
             StreamEvent::Heartbeat { .. } => {}
             StreamEvent::End {
                 positions, reason, ..
@@ -217,8 +217,8 @@
         now_ms: u64,
         effects: &mut Vec<ChainEffect>,
     ) {
-        let next = self.held();
-        if position != next || self.is_whole() {
+        let next = self.token_count();
+        if position != next || self.is_full() {
             let cause = if position > next {
                 DropCause::Ahead
             } else {
@@ -227,7 +227,7 @@
             effects.push(ChainEffect::Dropped(cause));
             return;
         }
-        let gap_ms = self.note_progress(now_ms, effects);
+        let gap_ms = self.record_token_arrival(now_ms, effects);
         self.tokens.push(text.clone());
         effects.push(ChainEffect::Token {
             position,
@@ -236,33 +236,38 @@
         });
     }
 
-    /// Notes the arrival of a token and returns the gap before it.
-    pub(super) fn note_progress(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) -> u64 {
+    /// Updates the state for an arrived token and returns the time since the previous one.
+    pub(super) fn record_token_arrival(
+        &mut self,
+        now_ms: u64,
+        effects: &mut Vec<ChainEffect>,
+    ) -> u64 {
         let gap_ms = if self.has_delivered() {
-            let gap_ms = now_ms.saturating_sub(self.progress_at_ms);
+            let gap_ms = now_ms.saturating_sub(self.last_token_at_ms);
             self.pace.add_gap(gap_ms);
             gap_ms
         } else {
-            self.note_first(now_ms, effects);
+            self.record_first_token(now_ms, effects);
             now_ms.saturating_sub(self.opened_at_ms)
         };
-        self.progress_at_ms = now_ms;
+        self.last_token_at_ms = now_ms;
         self.rebuilds = 0;
-        self.reopened = 0;
-        self.accusers.clear();
-        if !self.broken {
-            // Also when stages for the next epoch are being looked for: this one goes on after all.
+        self.reopens = 0;
+        self.unreachable_reporters.clear();
+        if !self.stream_broken {
+            // Also applies while stages for the next epoch are being selected: the current epoch
+            // has recovered and continues.
             self.state = State::Open;
         }
-        let behind = self.behind.filter(|_| self.pace.is_late());
-        self.forget_silence();
-        self.behind = behind;
-        self.suspect_at_ms = now_ms + self.pace.next_probe_ms();
+        let lagging = self.lagging.filter(|_| self.pace.is_late());
+        self.reset_probing();
+        self.lagging = lagging;
+        self.probe_at_ms = now_ms + self.pace.next_probe_ms();
         gap_ms
     }
 
-    pub(super) fn note_first(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        self.cancel_dropped(effects);
+    pub(super) fn record_first_token(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        self.cancel_replaced(effects);
         self.may_import = true;
         self.kv_missing = false;
         if self.stages.iter().all(|stage| stage.recompute) {
@@ -271,32 +276,32 @@
                 tokens: self.tokens_to_compute(),
             });
         }
-        self.holding = self
+        self.kv_holders = self
             .stages
             .iter()
             .map(|stage| (stage.endpoint.clone(), stage.layers))
             .collect();
     }
 
-    /// Tokens a chain computes that holds no KV state yet.
+    /// Number of tokens to compute when no stage holds KV state.
     pub(crate) fn tokens_to_compute(&self) -> u32 {
         let prompt = self.spec.prompt.split_whitespace().count();
         u32::try_from(prompt)
             .unwrap_or(u32::MAX)
-            .saturating_add(self.held())
+            .saturating_add(self.token_count())
     }
 
     /// Whether the current epoch has delivered a token.
     pub(super) fn has_delivered(&self) -> bool {
-        self.held() > self.start
+        self.token_count() > self.start_position
     }
 
-    /// Whether every token that may be generated is here, even if the end event is not.
-    pub(super) fn is_whole(&self) -> bool {
-        self.held() >= self.spec.max_tokens
+    /// Whether `max_tokens` tokens have been delivered, even if the end event is missing.
+    pub(super) fn is_full(&self) -> bool {
+        self.token_count() >= self.spec.max_tokens
     }
 
-    pub(super) fn held(&self) -> u32 {
+    pub(super) fn token_count(&self) -> u32 {
         u32::try_from(self.tokens.len()).unwrap_or(u32::MAX)
     }
 
@@ -307,10 +312,10 @@
         now_ms: u64,
         effects: &mut Vec<ChainEffect>,
     ) {
-        if positions != self.held() {
-            // A token is missing on the way: the engines have it, the entry has not.
+        if positions != self.token_count() {
+            // The engines generated a token that the entry has not received.
             effects.push(ChainEffect::Dropped(DropCause::Ahead));
-            self.broken = true;
+            self.stream_broken = true;
             self.rebuild(&[], now_ms, effects);
             return;
         }
@@ -319,9 +324,9 @@
 
     pub(super) fn finish(&mut self, cut_by_length: bool, effects: &mut Vec<ChainEffect>) {
         self.state = State::Ended;
-        self.cancel_dropped(effects);
+        self.cancel_replaced(effects);
         effects.push(ChainEffect::Done {
-            positions: self.held(),
+            positions: self.token_count(),
             cut_by_length,
         });
     }
--- a/src/chain/mod.rs
+++ b/src/chain/mod.rs
@@ -1,8 +1,8 @@
 //! One running completion: a chain of engines, rebuilt under a higher epoch when it fails.
 //!
-//! [`Chain`] takes messages and the present time and returns effects. It alone decides which token
-//! goes to the caller: a token counts only if its epoch is the current one and its position is
-//! exactly the next, so late, repeated and out-of-order events change nothing.
+//! [`Chain`] takes messages and the current time and returns effects. It alone decides which tokens
+//! are sent to the caller: a token is accepted only if its epoch is the current one and its position
+//! is the next expected one, so late, duplicate and out-of-order events have no effect.
 
 mod blame;
 mod machine;
--- a/src/chain/rebuild.rs
+++ b/src/chain/rebuild.rs
@@ -1,4 +1,4 @@
-//! Epochs: opening one, giving one up, and looking for the stages of the next.
+//! Epoch changes: opening an epoch, abandoning it, and requesting stages for the next.
 
 use super::machine::{Chain, State};
 use super::message::{ChainEffect, ExpectedTiming};
@@ -10,22 +10,23 @@
 use crate::wire::WIRE_VERSION;
 use crate::wire::engine::{EngineErrorCode, OpenStream, Stage};
 
-/// Longest time without a new token before the answer is given up.
-const GIVE_UP_MS: u64 = 30_000;
-/// Rebuilds without a token between them that are not charged to the retry budget.
-const FREE_REBUILDS: u32 = 2;
-/// Age of the last epoch from which a rebuild is not charged either. The budget keeps rebuilds from
-/// multiplying the load; one a second for each running answer cannot, and without it an answer
-/// that met a few faults in a row stood still until it was given up (pauses of 31 s).
+/// Longest time without a new token before the chain fails.
+const NO_TOKEN_TIMEOUT_MS: u64 = 30_000;
+/// Consecutive rebuilds without a token that are not charged to the retry budget.
+const UNCHARGED_REBUILDS: u32 = 2;
+/// Age of the last epoch from which a rebuild is not charged to the retry budget either. The budget
+/// keeps rebuilds from multiplying the load, which one rebuild per second and answer cannot do.
+/// Without this exception, an answer that hit several faults in a row stalled until it was given up
+/// (pauses of 31 s).
 const UNCHARGED_AFTER_MS: u64 = 1_000;
-/// Scheduling class of every stream at the engines. An engine runs a more urgent class strictly
-/// first, which would take back the share that admission gave an account of a later class; classes
-/// are ordered in the queue of the entry alone.
+/// Scheduling class of every stream at the engines. Engines give strict precedence to more urgent
+/// classes, which would override the share that admission granted to accounts of less urgent ones;
+/// only the entry's queue orders by class.
 const STREAM_PRIORITY: u8 = 0;
-/// How long to wait before stages are looked for again.
-const REPLAN_MS: u64 = 20;
-/// Longest such wait.
-const REPLAN_CEILING_MS: u64 = 1_000;
+/// Shortest interval between two requests for stages.
+const REPLAN_INTERVAL_MS: u64 = 20;
+/// Longest interval between two requests for stages.
+const MAX_REPLAN_INTERVAL_MS: u64 = 1_000;
 
 impl Chain {
     pub(super) fn open(
@@ -39,19 +40,19 @@
         let kept = |stage: &Stage| next.iter().any(|other| other.endpoint == stage.endpoint);
         let dropped = self.stages.iter().filter(|stage| !kept(stage));
         let dropped = dropped.map(|stage| (stage.address, self.epoch));
-        self.to_cancel.extend(dropped);
-        self.to_cancel
+        self.uncancelled.extend(dropped);
+        self.uncancelled
             .retain(|(address, _)| next.iter().all(|stage| stage.address != *address));
         self.stages = next;
         self.epoch += 1;
         self.state = State::Open;
-        self.start = self.held();
-        self.broken = false;
+        self.start_position = self.token_count();
+        self.stream_broken = false;
         self.opened_at_ms = now_ms;
         self.pace = Pace::new(expected);
-        self.forget_silence();
+        self.reset_probing();
         let recomputes = self.stages.iter().any(|stage| stage.recompute);
-        self.suspect_at_ms = now_ms + self.pace.first_timeout_ms(recomputes);
+        self.probe_at_ms = now_ms + self.pace.first_timeout_ms(recomputes);
         effects.push(ChainEffect::Open {
             open: self.open_stream(),
             fresh_connection: self.epoch > 1,
@@ -75,11 +76,11 @@
         }
     }
 
-    /// Decides which stages run the earlier positions again: each one that does not surely hold
-    /// their KV state, and every stage before it, since it needs their activations.
+    /// Marks the stages that recompute the earlier positions: each stage not known to hold their KV
+    /// state, and every stage before it, since it needs their activations.
     pub(super) fn mark_recompute(&mut self, mut stages: Vec<Stage>) -> Vec<Stage> {
         let may_import = self.may_import;
-        let holding = &self.holding;
+        let holding = &self.kv_holders;
         let ready = |stage: &Stage| {
             let imports = may_import && !stage.recompute && stage.import_from.is_some();
             let held = holding.get(&stage.endpoint);
@@ -99,7 +100,7 @@
             let mut kept = stages.iter().filter(|stage| !stage.recompute);
             kept.any(|stage| stage.endpoint == *endpoint && stage.import_from.is_none())
         };
-        self.holding.retain(|endpoint, _| keeps(endpoint));
+        self.kv_holders.retain(|endpoint, _| keeps(endpoint));
         stages
     }
 
@@ -112,11 +113,11 @@
     ) {
         if self.state != State::Open {
             if let (EngineErrorCode::KvMissing, Some(stage)) = (cause, stage) {
-                self.holding.shift_remove(&stage);
+                self.kv_holders.shift_remove(&stage);
             }
             return;
         }
-        self.broken = true;
+        self.stream_broken = true;
         match (cause, stage) {
             (EngineErrorCode::Malformed, _) => self.give_up(RefusalCode::EndpointFailed, effects),
             (EngineErrorCode::KvMissing, stage) => self.on_kv_missing(stage, now_ms, effects),
@@ -124,20 +125,22 @@
                 self.rebuild(&[], now_ms, effects);
             }
             (EngineErrorCode::StageUnreachable, Some(stage)) => {
-                let mut blamed = self.repeated_accuser(&stage);
-                blamed.push(stage);
-                self.blame(&blamed, EndpointFault::Unreachable, now_ms, effects);
+                let mut faulty = self.repeated_reporter(&stage);
+                faulty.push(stage);
+                self.report_and_rebuild(&faulty, EndpointFault::Unreachable, now_ms, effects);
             }
             (EngineErrorCode::Draining, Some(stage)) => {
-                self.blame(&[stage], EndpointFault::Draining, now_ms, effects);
+                self.report_and_rebuild(&[stage], EndpointFault::Draining, now_ms, effects);
+            }
+            (_, Some(stage)) => {
+                self.report_and_rebuild(&[stage], EndpointFault::Refused, now_ms, effects)
             }
-            (_, Some(stage)) => self.blame(&[stage], EndpointFault::Refused, now_ms, effects),
             (_, None) => self.probe(now_ms, effects),
         }
     }
 
-    /// The KV state of a stage is not there: it recomputes, and so does every stage if that
-    /// happens again before a token comes.
+    /// Handles missing KV state at a stage: the stage recomputes, or every stage does if this
+    /// happens again before the next token.
     pub(super) fn on_kv_missing(
         &mut self,
         stage: Option<EndpointId>,
@@ -148,28 +151,28 @@
         self.may_import = false;
         match stage {
             Some(stage) if !again => {
-                self.holding.shift_remove(&stage);
+                self.kv_holders.shift_remove(&stage);
             }
-            _ => self.holding.clear(),
+            _ => self.kv_holders.clear(),
         }
         self.rebuild(&[], now_ms, effects);
     }
 
-    /// The stage before one that is unreachable, if it has said so of another since the last
-    /// token: then it is more likely the one that reaches nobody.
-    pub(super) fn repeated_accuser(&mut self, accused: &EndpointId) -> Vec<EndpointId> {
+    /// Returns the stage before an unreachable one if it has already reported another stage as
+    /// unreachable since the last token: its own connectivity is then the likelier cause.
+    pub(super) fn repeated_reporter(&mut self, unreachable: &EndpointId) -> Vec<EndpointId> {
         let mut stages = self.stages.iter();
-        let at = stages.position(|stage| stage.endpoint == *accused);
-        let accuser = at
+        let at = stages.position(|stage| stage.endpoint == *unreachable);
+        let reporter = at
             .and_then(|at| at.checked_sub(1))
             .map(|at| &self.stages[at]);
-        let Some(accuser) = accuser.map(|stage| stage.endpoint.clone()) else {
+        let Some(reporter) = reporter.map(|stage| stage.endpoint.clone()) else {
             return Vec::new();
         };
-        if self.accusers.contains(&accuser) {
-            return vec![accuser];
+        if self.unreachable_reporters.contains(&reporter) {
+            return vec![reporter];
         }
-        self.accusers.push(accuser);
+        self.unreachable_reporters.push(reporter);
         Vec::new()
     }
 
@@ -183,7 +186,7 @@
         if epoch != self.epoch || self.state != State::Open {
             return;
         }
-        if self.is_whole() {
+        if self.is_full() {
             // Only the end event was lost.
             self.finish(true, effects);
             return;
@@ -191,22 +194,22 @@
         let first = self.stages.first().map(|stage| stage.endpoint.clone());
         match failure {
             StreamFailure::NotSent => {
-                self.broken = true;
+                self.stream_broken = true;
                 let first: Vec<EndpointId> = first.into_iter().collect();
-                self.blame(&first, EndpointFault::Unreachable, now_ms, effects);
+                self.report_and_rebuild(&first, EndpointFault::Unreachable, now_ms, effects);
             }
             StreamFailure::Refused { error } => {
                 self.on_failed(error.stage.or(first), error.code, now_ms, effects);
             }
             StreamFailure::Broken => {
-                self.broken = true;
+                self.stream_broken = true;
                 self.probe(now_ms, effects);
             }
         }
     }
 
-    /// Reports stages at fault and rebuilds without them.
-    pub(super) fn blame(
+    /// Reports faulty stages and rebuilds the chain without them.
+    pub(super) fn report_and_rebuild(
         &mut self,
         stages: &[EndpointId],
         fault: EndpointFault,
@@ -222,7 +225,7 @@
         self.rebuild(stages, now_ms, effects);
     }
 
-    /// Gives the current epoch up and asks for stages for the next.
+    /// Abandons the current epoch and requests stages for the next one.
     pub(super) fn rebuild(
         &mut self,
         without: &[EndpointId],
@@ -233,62 +236,64 @@
             if !self.excluded.contains(endpoint) {
                 self.excluded.push(endpoint.clone());
             }
-            self.holding.shift_remove(endpoint);
+            self.kv_holders.shift_remove(endpoint);
         }
-        self.round = None;
+        self.probe_round = None;
         self.rebuilds += 1;
-        self.ask_for_stages(now_ms, effects);
+        self.request_stages(now_ms, effects);
     }
 
-    pub(super) fn ask_for_stages(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        if self.is_whole() {
+    pub(super) fn request_stages(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        if self.is_full() {
             self.finish(true, effects);
             return;
         }
-        if self.is_out_of_time(now_ms) {
+        if self.should_give_up(now_ms) {
             self.give_up(RefusalCode::EndpointFailed, effects);
             return;
         }
         self.state = State::Routing {
-            retry_at_ms: now_ms + REPLAN_MS,
+            retry_at_ms: now_ms + REPLAN_INTERVAL_MS,
         };
         effects.push(ChainEffect::Plan {
             exclude: self.excluded.clone(),
-            is_retry: self.rebuilds > FREE_REBUILDS
+            is_retry: self.rebuilds > UNCHARGED_REBUILDS
                 && now_ms < self.opened_at_ms + UNCHARGED_AFTER_MS,
         });
     }
 
-    /// Whether no further epoch is worth opening.
-    pub(super) fn is_out_of_time(&self, now_ms: u64) -> bool {
-        self.is_late(now_ms) || now_ms.saturating_sub(self.progress_at_ms) >= GIVE_UP_MS
+    /// Whether it is too late to open another epoch.
+    pub(super) fn should_give_up(&self, now_ms: u64) -> bool {
+        self.is_past_deadline(now_ms)
+            || now_ms.saturating_sub(self.last_token_at_ms) >= NO_TOKEN_TIMEOUT_MS
     }
 
-    /// Whether the present epoch is not worth waiting for. An answer that has begun goes on after
-    /// its deadline: its caller reads it and can leave.
-    pub(super) fn is_hopeless(&self, now_ms: u64) -> bool {
-        let late = self.is_late(now_ms) && self.tokens.is_empty();
-        late || now_ms.saturating_sub(self.progress_at_ms) >= GIVE_UP_MS
+    /// Whether to stop waiting for the current epoch. An answer that has started continues past its
+    /// deadline: its caller is reading it and can disconnect.
+    pub(super) fn should_abandon_epoch(&self, now_ms: u64) -> bool {
+        let expired = self.is_past_deadline(now_ms) && self.tokens.is_empty();
+        expired || now_ms.saturating_sub(self.last_token_at_ms) >= NO_TOKEN_TIMEOUT_MS
     }
 
-    fn is_late(&self, now_ms: u64) -> bool {
+    fn is_past_deadline(&self, now_ms: u64) -> bool {
         self.spec.deadline.is_some_and(|it| now_ms >= it.at_ms)
     }
 
     pub(super) fn wait_for_route(&mut self, reason: NoRoute, now_ms: u64) {
         if let State::Open = self.state {
-            // A slow chain could not be replaced: it goes on.
-            self.behind = None;
+            // A slow chain could not be replaced: it continues on its current stages.
+            self.lagging = None;
             return;
         }
         if reason == NoRoute::Incomplete {
-            // Better a stage that failed once than none; the router still knows what it saw.
+            // A stage that failed once is better than none, and the router still has the
+            // reported faults.
             self.excluded.clear();
         }
-        // Asks less often the longer it has found nothing.
-        let wait_ms = now_ms.saturating_sub(self.progress_at_ms) / 4;
+        // Back off in proportion to the time without a token.
+        let wait_ms = now_ms.saturating_sub(self.last_token_at_ms) / 4;
         self.state = State::Routing {
-            retry_at_ms: now_ms + wait_ms.clamp(REPLAN_MS, REPLAN_CEILING_MS),
+            retry_at_ms: now_ms + wait_ms.clamp(REPLAN_INTERVAL_MS, MAX_REPLAN_INTERVAL_MS),
         };
     }
 
@@ -298,15 +303,15 @@
         effects.push(ChainEffect::GiveUp { code });
     }
 
-    /// Cancels the stages that were replaced.
-    pub(super) fn cancel_dropped(&mut self, effects: &mut Vec<ChainEffect>) {
-        for (address, epoch) in self.to_cancel.drain(..) {
+    /// Cancels the replaced stages of earlier epochs.
+    pub(super) fn cancel_replaced(&mut self, effects: &mut Vec<ChainEffect>) {
+        for (address, epoch) in self.uncancelled.drain(..) {
             effects.push(ChainEffect::Cancel { address, epoch });
         }
     }
 
     pub(super) fn cancel_stages(&mut self, effects: &mut Vec<ChainEffect>) {
-        self.cancel_dropped(effects);
+        self.cancel_replaced(effects);
         for stage in &self.stages {
             effects.push(ChainEffect::Cancel {
                 address: stage.address,
--- a/src/chain/tests.rs
+++ b/src/chain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of chains: focused ones, and random orders of events.
+//! Tests of chains: single faults and random event sequences.
 
 mod harness;
 mod orders;
--- a/src/chain/tests/harness.rs
+++ b/src/chain/tests/harness.rs
@@ -1,4 +1,5 @@
-//! Runs a chain, answers its questions for stages, and checks what must hold after every message.
+//! Test harness: drives a chain, answers its requests for stages, and checks invariants after every
+//! message.
 
 use indexmap::{IndexMap, IndexSet};
 use rand::SeedableRng;
@@ -20,10 +21,10 @@
     probe_ms: 60.0,
 };
 
-/// Three layer ranges with three engines each; `x2` is the third engine of range `x`.
+/// Three layer ranges with three engines each; `a2` is the third engine of range `a`.
 const RANGES: [(&str, u16, u16); 3] = [("a", 0, 8), ("b", 8, 16), ("c", 16, 24)];
 
-/// What the next question for stages is answered.
+/// Reply to the next request for stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Routes {
     Found,
@@ -31,19 +32,19 @@
     Denied,
 }
 
-/// A chain and what was seen of it.
+/// A chain and its observed effects.
 pub(super) struct Harness {
     pub(super) chain: Chain,
     pub(super) now_ms: u64,
     pub(super) routes: Routes,
-    /// Tokens handed out.
+    /// Delivered tokens.
     pub(super) tokens: Vec<String>,
-    /// Epochs opened, in order.
+    /// Opened epochs, in order.
     pub(super) opened: Vec<OpenStream>,
     pub(super) ended: Option<ChainEffect>,
     /// Effects of the last message.
     pub(super) last: Vec<ChainEffect>,
-    /// Stages that hold KV state of every token, as an observer knows it.
+    /// Stages that hold the KV state of every token, tracked independently of the chain.
     holders: IndexMap<EndpointId, LayerRange>,
 }
 
@@ -155,7 +156,7 @@
         }));
     }
 
-    /// Lets time pass to the chain's next wake.
+    /// Advances time to the chain's next wake-up.
     pub(super) fn wake(&mut self) {
         if let Some(at_ms) = self.chain.wake_at_ms() {
             self.now_ms = self.now_ms.max(at_ms);
@@ -224,7 +225,7 @@
     }
 
     fn check_token(&mut self, position: u32, text: String) {
-        assert_eq!(position, self.held(), "tokens come in order, each once");
+        assert_eq!(position, self.held(), "token out of order or repeated");
         assert_eq!(text, format!("{}.{position}", self.epoch()));
         self.tokens.push(text);
         assert!(self.held() <= MAX_TOKENS);
@@ -239,16 +240,16 @@
 
     fn check_open(&mut self, open: OpenStream) {
         let before = self.opened.last().map_or(0, |open| open.epoch);
-        assert!(open.epoch > before, "epochs only grow");
+        assert!(open.epoch > before, "epoch did not increase");
         assert_eq!(open.generated, self.tokens);
         let recomputing = open.chain.iter().map(|stage| !stage.recompute);
-        assert!(recomputing.is_sorted(), "a stage recomputes without input");
+        assert!(recomputing.is_sorted(), "stage recomputes without input");
         let kept = open.chain.iter().filter(|stage| !stage.recompute);
         let kept: IndexSet<EndpointId> = kept.map(|stage| stage.endpoint.clone()).collect();
         for endpoint in &kept {
             assert!(
                 self.holders.contains_key(endpoint),
-                "{endpoint} holds nothing"
+                "{endpoint} does not hold the KV state"
             );
         }
         self.holders.retain(|endpoint, _| kept.contains(endpoint));
--- a/src/chain/tests/orders.rs
+++ b/src/chain/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Random orders of events.
+//! Property tests with random event sequences.
 
 use proptest::prelude::*;
 
@@ -17,9 +17,9 @@
 ];
 const STAGES: [&str; 6] = ["a0", "a1", "b0", "b1", "c0", "c1"];
 
-/// One thing that happens; offsets are relative to what is current.
+/// A random event; epochs and positions are offsets from the current ones.
 #[derive(Clone, Debug)]
-enum Act {
+enum Event {
     Token { epoch: i64, position: i64 },
     End { epoch: i64, positions: i64 },
     Heartbeat,
@@ -33,26 +33,26 @@
     Routes(Routes),
 }
 
-fn act() -> impl Strategy<Value = Act> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        6 => Just(Act::Token { epoch: 0, position: 0 }),
-        3 => (-1..=1i64, -2..=2i64).prop_map(|(epoch, position)| Act::Token { epoch, position }),
-        1 => (-1..=0i64, -1..=1i64).prop_map(|(epoch, positions)| Act::End { epoch, positions }),
-        1 => Just(Act::Heartbeat),
+        6 => Just(Event::Token { epoch: 0, position: 0 }),
+        3 => (-1..=1i64, -2..=2i64).prop_map(|(epoch, position)| Event::Token { epoch, position }),
+        1 => (-1..=0i64, -1..=1i64).prop_map(|(epoch, positions)| Event::End { epoch, positions }),
+        1 => Just(Event::Heartbeat),
         2 => (proptest::option::of(0..6usize), 0..6usize)
-            .prop_map(|(stage, cause)| Act::Failed { stage, cause }),
-        1 => (-1..=0i64).prop_map(|epoch| Act::Broken { epoch }),
-        1 => Just(Act::NotSent),
-        1 => (0..6usize).prop_map(|cause| Act::Refused { cause }),
-        3 => proptest::array::uniform3(0..5u8).prop_map(|answers| Act::Probes { answers }),
-        4 => Just(Act::Wake),
-        1 => (0..3_000u64).prop_map(|ms| Act::Pause { ms }),
+            .prop_map(|(stage, cause)| Event::Failed { stage, cause }),
+        1 => (-1..=0i64).prop_map(|epoch| Event::Broken { epoch }),
+        1 => Just(Event::NotSent),
+        1 => (0..6usize).prop_map(|cause| Event::Refused { cause }),
+        3 => proptest::array::uniform3(0..5u8).prop_map(|answers| Event::Probes { answers }),
+        4 => Just(Event::Wake),
+        1 => (0..3_000u64).prop_map(|ms| Event::Pause { ms }),
         1 => prop_oneof![
             3 => Just(Routes::Found),
             1 => Just(Routes::Full),
             1 => Just(Routes::Denied)
         ]
-        .prop_map(Act::Routes),
+        .prop_map(Event::Routes),
     ]
 }
 
@@ -60,38 +60,38 @@
     u32::try_from(i64::from(base) + by).unwrap_or(0)
 }
 
-fn run(harness: &mut Harness, act: &Act) {
+fn run(harness: &mut Harness, event: &Event) {
     let (now_epoch, held) = (harness.epoch(), harness.held());
-    match act {
-        Act::Token { epoch, position } => {
+    match event {
+        Event::Token { epoch, position } => {
             harness.token_of(offset(now_epoch, *epoch), offset(held, *position));
         }
-        Act::End { epoch, positions } => {
+        Event::End { epoch, positions } => {
             harness.end_of(offset(now_epoch, *epoch), offset(held, *positions));
         }
-        Act::Heartbeat => harness.send(ChainMessage::Event(StreamEvent::Heartbeat {
+        Event::Heartbeat => harness.send(ChainMessage::Event(StreamEvent::Heartbeat {
             epoch: now_epoch,
             position: held,
         })),
-        Act::Failed { stage, cause } => {
+        Event::Failed { stage, cause } => {
             harness.failed(stage.map(|index| STAGES[index]), CAUSES[*cause]);
         }
-        Act::Broken { epoch } => {
+        Event::Broken { epoch } => {
             stream_failed(harness, offset(now_epoch, *epoch), StreamFailure::Broken)
         }
-        Act::NotSent => stream_failed(harness, now_epoch, StreamFailure::NotSent),
-        Act::Refused { cause } => {
+        Event::NotSent => stream_failed(harness, now_epoch, StreamFailure::NotSent),
+        Event::Refused { cause } => {
             let code = CAUSES[*cause];
             let error = EngineError { code, stage: None };
             stream_failed(harness, now_epoch, StreamFailure::Refused { error });
         }
-        Act::Probes { answers } => {
+        Event::Probes { answers } => {
             let answers = answers.map(|answer| probe_answer(answer, now_epoch, held));
             harness.answer_probes(&answers);
         }
-        Act::Wake => harness.wake(),
-        Act::Pause { ms } => harness.now_ms += ms,
-        Act::Routes(routes) => harness.routes = *routes,
+        Event::Wake => harness.wake(),
+        Event::Pause { ms } => harness.now_ms += ms,
+        Event::Routes(routes) => harness.routes = *routes,
     }
 }
 
@@ -113,23 +113,22 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
-    /// The harness checks the order of tokens, the growth of epochs, that nothing follows the end,
-    /// and that no stage is told to go on from KV state it does not hold.
+    /// The harness checks that tokens are in order, that epochs increase, that no effect follows the
+    /// end, and that no stage is told to continue from KV state it does not hold.
     #[test]
-    fn any_order_of_events_keeps_the_answer_whole(acts in prop::collection::vec(act(), 1..80)) {
+    fn any_event_order_preserves_the_answer(events in prop::collection::vec(event(), 1..80)) {
         let mut harness = Harness::new();
-        for act in &acts {
-            run(&mut harness, act);
+        for event in &events {
+            run(&mut harness, event);
         }
     }
 
-    /// Whatever happened before, a chain that finds stages and whose engines answer comes to an
-    /// end.
+    /// After any sequence of events, a chain ends once stages are available and engines answer.
     #[test]
-    fn a_chain_always_ends(acts in prop::collection::vec(act(), 1..60)) {
+    fn a_chain_always_ends(events in prop::collection::vec(event(), 1..60)) {
         let mut harness = Harness::new();
-        for act in &acts {
-            run(&mut harness, act);
+        for event in &events {
+            run(&mut harness, event);
         }
         harness.routes = Routes::Found;
         for _ in 0..400 {
@@ -150,7 +149,7 @@
 }
 
 #[test]
-fn silence_for_ever_is_given_up() {
+fn permanent_silence_ends_the_chain() {
     for routes in [Routes::Found, Routes::Full] {
         let mut harness = Harness::new();
         harness.routes = routes;
--- a/src/chain/tests/recovery.rs
+++ b/src/chain/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! One fault at a time.
+//! Tests of recovery from single faults.
 
 use super::harness::{Harness, MAX_TOKENS, Routes};
 use crate::chain::{ChainEffect, ChainMessage, DropCause, ProbeAnswer};
@@ -22,7 +22,7 @@
         .collect()
 }
 
-fn named(stages: [(&str, bool); 3]) -> Vec<(String, bool)> {
+fn stage_names(stages: [(&str, bool); 3]) -> Vec<(String, bool)> {
     stages
         .map(|(name, recompute)| (name.to_owned(), recompute))
         .to_vec()
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn a_dead_stage_is_replaced_and_those_behind_it_keep_their_state() {
+fn a_dead_stage_is_replaced_and_later_stages_keep_their_state() {
     let mut harness = running();
     harness.failed(Some("b0"), EngineErrorCode::StageUnreachable);
     assert_eq!(harness.epoch(), 2);
-    let expected = named([("a0", true), ("b1", true), ("c0", false)]);
+    let expected = stage_names([("a0", true), ("b1", true), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
     assert_eq!(
         faults(&harness),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn silence_is_probed_at_every_stage_and_the_mute_one_replaced() {
+fn silence_probes_every_stage_and_replaces_the_unreachable_one() {
     let mut harness = running();
     harness.wake();
     assert_eq!(probes(&harness), 3);
@@ -85,12 +85,12 @@
     let alive = harness.at(2);
     harness.answer_probes(&[alive, alive, ProbeAnswer::Unreachable]);
     assert_eq!(faults(&harness), [("c0".to_owned(), EndpointFault::Silent)]);
-    let expected = named([("a0", true), ("b0", true), ("c1", true)]);
+    let expected = stage_names([("a0", true), ("b0", true), ("c1", true)]);
     assert_eq!(chain_names(&harness), expected);
 }
 
 #[test]
-fn a_stage_that_answers_nothing_is_found_by_time() {
+fn a_stage_that_does_not_answer_is_replaced_after_the_probe_timeout() {
     let mut harness = running();
     harness.wake();
     let probe = harness.last[0].clone();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn heartbeats_are_no_progress() {
+fn heartbeats_do_not_extend_the_timeout() {
     let mut harness = running();
     let due_ms = harness.chain.wake_at_ms();
     harness.now_ms += 50;
@@ -122,19 +122,19 @@
 }
 
 #[test]
-fn a_stage_that_answers_but_stands_still_is_replaced() {
+fn a_stalled_stage_is_replaced() {
     let mut harness = running();
     harness.wake();
     let (done, waits) = (harness.at(3), harness.at(2));
     harness.answer_probes(&[done, waits, waits]);
-    assert_eq!(harness.epoch(), 1, "one round proves nothing");
+    assert_eq!(harness.epoch(), 1, "replaced after a single round");
     harness.wake();
     harness.answer_probes(&[done, waits, waits]);
     assert_eq!(faults(&harness), [("b0".to_owned(), EndpointFault::Silent)]);
 }
 
 #[test]
-fn stages_that_move_are_left_alone() {
+fn stages_making_progress_are_kept() {
     let mut harness = running();
     for position in 3..6 {
         harness.wake();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_silent_connection_is_opened_anew_on_the_same_stages() {
+fn a_silent_connection_is_reopened_on_the_same_stages() {
     let mut harness = running();
     for _ in 0..2 {
         harness.wake();
@@ -153,7 +153,7 @@
         harness.answer_probes(&[ahead; 3]);
     }
     assert_eq!(faults(&harness), []);
-    let expected = named([("a0", false), ("b0", false), ("c0", false)]);
+    let expected = stage_names([("a0", false), ("b0", false), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
     let opens = harness.last.iter();
     let fresh = opens.filter(|effect| {
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_token_that_never_comes_back_to_the_first_stage_costs_the_last_one_its_place() {
+fn undelivered_tokens_replace_the_last_stage_after_one_reopen() {
     let mut harness = running();
     let wait = |harness: &mut Harness| {
         for _ in 0..2 {
@@ -183,7 +183,7 @@
     assert_eq!(harness.epoch(), 2);
     wait(&mut harness);
     assert_eq!(faults(&harness), [("c0".to_owned(), EndpointFault::Silent)]);
-    let expected = named([("a0", true), ("b0", true), ("c1", true)]);
+    let expected = stage_names([("a0", true), ("b0", true), ("c1", true)]);
     assert_eq!(chain_names(&harness), expected);
     assert!(harness.now_ms < 1_500, "{} ms", harness.now_ms);
 }
@@ -195,7 +195,7 @@
     let alive = harness.at(2);
     harness.answer_probes(&[alive, ProbeAnswer::UnknownStream, alive]);
     assert_eq!(faults(&harness), []);
-    let expected = named([("a0", true), ("b0", true), ("c0", false)]);
+    let expected = stage_names([("a0", true), ("b0", true), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
 }
 
@@ -203,10 +203,10 @@
 fn missing_state_found_twice_makes_every_stage_recompute() {
     let mut harness = running();
     harness.failed(Some("a0"), EngineErrorCode::KvMissing);
-    let expected = named([("a0", true), ("b0", false), ("c0", false)]);
+    let expected = stage_names([("a0", true), ("b0", false), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
     harness.failed(Some("b0"), EngineErrorCode::KvMissing);
-    let expected = named([("a0", true), ("b0", true), ("c0", true)]);
+    let expected = stage_names([("a0", true), ("b0", true), ("c0", true)]);
     assert_eq!(chain_names(&harness), expected);
 }
 
@@ -226,16 +226,16 @@
 }
 
 #[test]
-fn a_stage_that_reaches_nobody_is_found_behind_its_accusations() {
+fn a_stage_without_connectivity_is_replaced_after_two_reports() {
     let mut harness = running();
     harness.failed(Some("b0"), EngineErrorCode::StageUnreachable);
     harness.failed(Some("b1"), EngineErrorCode::StageUnreachable);
-    let expected = named([("a1", true), ("b2", true), ("c0", false)]);
+    let expected = stage_names([("a1", true), ("b2", true), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
 }
 
 #[test]
-fn a_lost_end_after_the_last_token_is_no_loss() {
+fn a_missing_end_event_after_the_last_token_completes_the_answer() {
     let mut harness = Harness::new();
     for _ in 0..MAX_TOKENS {
         harness.token();
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn an_end_that_claims_more_tokens_than_came_is_not_believed() {
+fn an_end_event_with_missing_tokens_rebuilds_the_chain() {
     let mut harness = running();
     harness.end_of(1, 3);
     assert_eq!(harness.ended, None);
@@ -273,7 +273,7 @@
 }
 
 #[test]
-fn a_false_alarm_without_other_stages_lets_the_stream_go_on() {
+fn a_false_alarm_without_spare_stages_keeps_the_stream() {
     let mut harness = running();
     harness.routes = Routes::Full;
     harness.wake();
@@ -286,7 +286,7 @@
     assert_eq!((harness.epoch(), harness.held()), (1, 3));
 }
 
-/// Lets four tokens come 300 ms apart while the second stage is behind each time.
+/// Delivers four tokens 300 ms apart while the second stage is lagging in each probe round.
 fn slow_tokens(harness: &mut Harness) {
     for _ in 0..4 {
         harness.wake();
@@ -305,12 +305,12 @@
     let mut harness = running();
     slow_tokens(&mut harness);
     assert_eq!(faults(&harness), [("b0".to_owned(), EndpointFault::Slow)]);
-    let expected = named([("a0", true), ("b1", true), ("c0", false)]);
+    let expected = stage_names([("a0", true), ("b1", true), ("c0", false)]);
     assert_eq!(chain_names(&harness), expected);
 }
 
 #[test]
-fn a_slow_chain_goes_on_when_there_is_no_other() {
+fn a_slow_chain_continues_without_alternatives() {
     let mut harness = running();
     harness.routes = Routes::Full;
     slow_tokens(&mut harness);
@@ -332,9 +332,9 @@
     assert_eq!(harness.epoch(), 1);
 }
 
-/// Lets rounds of probes find the first stage done and the second not reached until an epoch ends;
-/// returns how long that took.
-fn until_given_up(harness: &mut Harness) -> u64 {
+/// Runs probe rounds in which the first stage is done and the second has not received the stream,
+/// until the epoch is replaced; returns the elapsed time.
+fn until_epoch_replaced(harness: &mut Harness) -> u64 {
     let (epoch, begun_ms) = (harness.epoch(), harness.now_ms);
     while harness.epoch() == epoch {
         harness.wake();
@@ -345,20 +345,20 @@
 }
 
 #[test]
-fn an_epoch_that_begins_on_a_silent_link_is_given_up_in_two_rounds() {
+fn an_epoch_on_a_silent_link_is_replaced_after_two_rounds() {
     let mut harness = Harness::new();
-    let first_ms = until_given_up(&mut harness);
+    let first_ms = until_epoch_replaced(&mut harness);
     assert_eq!(faults(&harness), [("b0".to_owned(), EndpointFault::Silent)]);
-    // The stage before it reaches nobody; it is left out with the second one that it did not reach.
-    let second_ms = until_given_up(&mut harness);
-    let expected = named([("a1", true), ("b2", true), ("c0", true)]);
+    // The stage before it has now failed to reach two stages, so it is replaced as well.
+    let second_ms = until_epoch_replaced(&mut harness);
+    let expected = stage_names([("a1", true), ("b2", true), ("c0", true)]);
     assert_eq!(chain_names(&harness), expected);
-    // With four rounds in each it was 2,240 ms; 560 ms now.
+    // Four rounds per epoch took 2,240 ms; two rounds take 560 ms.
     assert!(first_ms + second_ms < 700, "{first_ms} and {second_ms} ms");
 }
 
 #[test]
-fn after_its_deadline_only_an_answer_that_has_begun_goes_on() {
+fn only_a_started_answer_continues_past_its_deadline() {
     for begun in [false, true] {
         let mut harness = Harness::with_deadline(Some(Deadline { at_ms: 200 }));
         if begun {
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn the_wait_grows_when_the_engines_slow_down_for_all() {
+fn the_timeout_grows_when_all_streams_slow_down() {
     let mut harness = running();
     for _ in 0..3 {
         harness.now_ms += 20;
@@ -386,8 +386,8 @@
     assert!(harness.chain.wake_at_ms().unwrap() > due_ms + 50);
 }
 
-/// Whether the last message asked for stages, and if so whether at the cost of the retry budget.
-fn asked_at_cost(harness: &Harness) -> Option<bool> {
+/// Whether the last message requested stages, and if so, whether the retry budget is charged.
+fn requested_as_retry(harness: &Harness) -> Option<bool> {
     harness.last.iter().find_map(|effect| match effect {
         ChainEffect::Plan { is_retry, .. } => Some(*is_retry),
         _ => None,
@@ -403,8 +403,8 @@
     let opened_ms = harness.now_ms;
     harness.routes = Routes::Denied;
     harness.failed(Some("c0"), EngineErrorCode::StageUnreachable);
-    assert_eq!(asked_at_cost(&harness), Some(true));
-    while asked_at_cost(&harness) == Some(true) {
+    assert_eq!(requested_as_retry(&harness), Some(true));
+    while requested_as_retry(&harness) == Some(true) {
         harness.wake();
     }
     let waited_ms = harness.now_ms - opened_ms;
--- a/src/chain/watch.rs
+++ b/src/chain/watch.rs
@@ -1,33 +1,35 @@
-//! Watching an epoch: silence is answered by probes of all stages, and probes by a verdict.
+//! Failure detection for an epoch: when no token arrives, all stages are probed, and the results
+//! decide whether to wait or to rebuild.
 
-use super::blame::{Blame, Known, Round, judge};
+use super::blame::{Blame, EpochContext, ProbeRound, diagnose};
 use super::machine::{Chain, State};
 use super::message::{ChainEffect, ProbeAnswer};
 use crate::ids::EndpointId;
 use crate::outcome::RefusalCode;
 use crate::routing::EndpointFault;
 
-/// Shortest time between two rounds of probes.
-const WAIT_FLOOR_MS: u64 = 60;
-/// Longest time between two rounds of probes.
-const WAIT_CEILING_MS: u64 = 1_000;
-/// Time after its timeout before a probe that the driver did not answer counts as unanswered.
+/// Shortest time between two probe rounds.
+const MIN_PROBE_INTERVAL_MS: u64 = 60;
+/// Longest time between two probe rounds.
+const MAX_PROBE_INTERVAL_MS: u64 = 1_000;
+/// Extra time after the probe timeout for the driver to report the result.
 const PROBE_MARGIN_MS: u64 = 20;
-/// Rounds of probes without any movement before a stage is held to be stuck.
-const STUCK_ROUNDS: u32 = 2;
-/// The same before the epoch's first token, which may wait in an engine's queue.
-const FIRST_STUCK_ROUNDS: u32 = 4;
-/// Epochs in a row that may be opened on the same stages because a token was made and did not come.
-const MOST_REOPENED: u32 = 1;
-/// Rounds that must find the same stage behind before a slow chain is rebuilt without it.
-const SLOW_ROUNDS: u32 = 3;
+/// Probe rounds without any progress before a stage counts as stalled.
+const STALLED_ROUNDS: u32 = 2;
+/// The same before the epoch's first token, whose work may wait in an engine's queue.
+const FIRST_TOKEN_STALLED_ROUNDS: u32 = 4;
+/// Consecutive epochs that may be opened on the same stages because a finished token was not
+/// delivered.
+const MAX_REOPENS: u32 = 1;
+/// Consecutive rounds in which a stage must be lagging before a slow chain is rebuilt without it.
+const LAGGING_ROUNDS: u32 = 3;
 
 impl Chain {
-    pub(super) fn forget_silence(&mut self) {
-        self.round = None;
-        self.last_answers = None;
-        self.unmoved_rounds = 0;
-        self.behind = None;
+    pub(super) fn reset_probing(&mut self) {
+        self.probe_round = None;
+        self.last_probe_answers = None;
+        self.stalled_rounds = 0;
+        self.lagging = None;
     }
 
     pub(super) fn on_wake(&mut self, gap_ms: f64, now_ms: u64, effects: &mut Vec<ChainEffect>) {
@@ -35,19 +37,24 @@
             return;
         }
         match self.state {
-            State::Routing { .. } => self.ask_for_stages(now_ms, effects),
-            State::Open if self.round.is_some() => self.conclude(now_ms, effects),
-            State::Open => self.suspect(gap_ms, now_ms, effects),
+            State::Routing { .. } => self.request_stages(now_ms, effects),
+            State::Open if self.probe_round.is_some() => self.finish_probe_round(now_ms, effects),
+            State::Open => self.probe_if_overdue(gap_ms, now_ms, effects),
             State::Ended => {}
         }
     }
 
-    /// Probes the stages, unless the engines' history now lets expect a longer silence.
-    pub(super) fn suspect(&mut self, gap_ms: f64, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+    /// Probes the stages unless the engines' current history extends the timeout.
+    pub(super) fn probe_if_overdue(
+        &mut self,
+        gap_ms: f64,
+        now_ms: u64,
+        effects: &mut Vec<ChainEffect>,
+    ) {
         if self.has_delivered() && !self.pace.is_slow() {
-            let due_ms = self.progress_at_ms + self.pace.next_timeout_ms(gap_ms);
+            let due_ms = self.last_token_at_ms + self.pace.next_timeout_ms(gap_ms);
             if now_ms < due_ms {
-                self.suspect_at_ms = due_ms;
+                self.probe_at_ms = due_ms;
                 return;
             }
         }
@@ -55,16 +62,20 @@
     }
 
     pub(super) fn probe(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        if self.round.is_some() {
+        if self.probe_round.is_some() {
             return;
         }
-        self.rounds += 1;
+        self.probe_rounds += 1;
         let timeout_ms = self.pace.probe_timeout_ms();
         let until_ms = now_ms + timeout_ms + PROBE_MARGIN_MS;
-        self.round = Some(Round::new(self.rounds, self.stages.len(), until_ms));
+        self.probe_round = Some(ProbeRound::new(
+            self.probe_rounds,
+            self.stages.len(),
+            until_ms,
+        ));
         for (index, stage) in self.stages.iter().enumerate() {
             effects.push(ChainEffect::Probe {
-                round: self.rounds,
+                round: self.probe_rounds,
                 stage: index,
                 address: stage.address,
                 timeout_ms,
@@ -80,52 +91,54 @@
         now_ms: u64,
         effects: &mut Vec<ChainEffect>,
     ) {
-        let Some(round) = &mut self.round else { return };
+        let Some(round) = &mut self.probe_round else {
+            return;
+        };
         if round.number != number {
             return;
         }
         round.add(stage, answer);
         if round.is_complete() {
-            self.conclude(now_ms, effects);
+            self.finish_probe_round(now_ms, effects);
         }
     }
 
-    pub(super) fn conclude(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        let Some(round) = self.round.take() else {
+    pub(super) fn finish_probe_round(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        let Some(round) = self.probe_round.take() else {
             return;
         };
         let answers = round.into_answers();
-        let known = Known {
+        let context = EpochContext {
             epoch: self.epoch,
-            start: self.start,
-            held: self.held(),
-            before: self.last_answers.as_deref(),
+            start_position: self.start_position,
+            delivered: self.token_count(),
+            previous: self.last_probe_answers.as_deref(),
         };
-        let blame = judge(&answers, known);
-        self.last_answers = Some(answers);
-        if self.is_hopeless(now_ms) {
+        let blame = diagnose(&answers, context);
+        self.last_probe_answers = Some(answers);
+        if self.should_abandon_epoch(now_ms) {
             self.give_up(RefusalCode::EndpointFailed, effects);
             return;
         }
         match blame {
-            Blame::Dead(dead) => {
-                let dead = self.endpoints(&dead);
-                self.blame(&dead, EndpointFault::Silent, now_ms, effects);
+            Blame::Unreachable(unreachable) => {
+                let unreachable = self.endpoints(&unreachable);
+                self.report_and_rebuild(&unreachable, EndpointFault::Silent, now_ms, effects);
             }
-            Blame::Lost(lost) => {
+            Blame::StreamLost(lost) => {
                 for endpoint in self.endpoints(&lost) {
-                    self.holding.shift_remove(&endpoint);
+                    self.kv_holders.shift_remove(&endpoint);
                 }
                 self.rebuild(&[], now_ms, effects);
             }
-            Blame::Connection => self.rebuild(&[], now_ms, effects),
+            Blame::ConnectionSilent => self.rebuild(&[], now_ms, effects),
             Blame::Undelivered => self.on_undelivered(now_ms, effects),
-            Blame::Stuck(_) | Blame::Unreached(_) | Blame::Behind(_) if self.broken => {
+            Blame::Stalled(_) | Blame::LinkSilent(_) | Blame::Lagging(_) if self.stream_broken => {
                 self.rebuild(&[], now_ms, effects);
             }
-            Blame::Stuck(stage) => self.on_stuck(stage, now_ms, effects),
-            Blame::Unreached(stage) => self.on_unreached(stage, now_ms, effects),
-            Blame::Behind(stage) => self.on_behind(stage, now_ms, effects),
+            Blame::Stalled(stage) => self.on_stalled(stage, now_ms, effects),
+            Blame::LinkSilent(stage) => self.on_link_silent(stage, now_ms, effects),
+            Blame::Lagging(stage) => self.on_lagging(stage, now_ms, effects),
         }
     }
 
@@ -134,68 +147,69 @@
         stages.map(|stage| stage.endpoint.clone()).collect()
     }
 
-    pub(super) fn on_stuck(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        self.unmoved_rounds += 1;
-        let enough = if self.has_delivered() {
-            STUCK_ROUNDS - 1
+    pub(super) fn on_stalled(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        self.stalled_rounds += 1;
+        let required = if self.has_delivered() {
+            STALLED_ROUNDS - 1
         } else {
-            FIRST_STUCK_ROUNDS - 1
+            FIRST_TOKEN_STALLED_ROUNDS - 1
         };
-        if self.unmoved_rounds >= enough {
-            let stuck = self.endpoints(&[stage]);
-            self.blame(&stuck, EndpointFault::Silent, now_ms, effects);
+        if self.stalled_rounds >= required {
+            let stalled = self.endpoints(&[stage]);
+            self.report_and_rebuild(&stalled, EndpointFault::Silent, now_ms, effects);
             return;
         }
-        self.wait_again(now_ms);
+        self.schedule_next_probe(now_ms);
     }
 
-    /// Opens the same stages again, since the connection to the first is the likelier cause. If that
-    /// brings no token either, the last stage does not reach the first: where it was opened again and
-    /// again on the same stages, an answer paused until the engines gave the link up, 10 s later.
+    /// Reopens the stream on the same stages, since the connection to the first stage is the likelier
+    /// cause. If no token arrives then either, the last stage cannot reach the first and is replaced:
+    /// when the same stages were reopened repeatedly, the answer paused until the engines closed the
+    /// link 10 s later.
     fn on_undelivered(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        self.reopened += 1;
+        self.reopens += 1;
         match self.stages.last().map(|stage| stage.endpoint.clone()) {
-            Some(last) if self.reopened > MOST_REOPENED && self.stages.len() > 1 => {
-                self.blame(&[last], EndpointFault::Silent, now_ms, effects);
+            Some(last) if self.reopens > MAX_REOPENS && self.stages.len() > 1 => {
+                self.report_and_rebuild(&[last], EndpointFault::Silent, now_ms, effects);
             }
             _ => self.rebuild(&[], now_ms, effects),
         }
     }
 
-    /// A link that brings nothing is told from a full engine: work that waits there has arrived. So it
-    /// is blamed after two rounds also before the first token, and together with the stage before it
-    /// once that one has been unable to reach another.
-    fn on_unreached(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        self.unmoved_rounds += 1;
-        if self.unmoved_rounds < STUCK_ROUNDS - 1 {
-            self.wait_again(now_ms);
+    /// Replaces a stage that receives nothing from the stage before it. This is distinguishable from a
+    /// full engine, where queued work has arrived, so two rounds suffice even before the first token.
+    /// The stage before it is replaced too if it has already failed to reach another stage.
+    fn on_link_silent(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        self.stalled_rounds += 1;
+        if self.stalled_rounds < STALLED_ROUNDS - 1 {
+            self.schedule_next_probe(now_ms);
             return;
         }
-        let Some(unreached) = self.endpoints(&[stage]).pop() else {
+        let Some(endpoint) = self.endpoints(&[stage]).pop() else {
             return;
         };
-        let mut blamed = self.repeated_accuser(&unreached);
-        blamed.push(unreached);
-        self.blame(&blamed, EndpointFault::Silent, now_ms, effects);
+        let mut faulty = self.repeated_reporter(&endpoint);
+        faulty.push(endpoint);
+        self.report_and_rebuild(&faulty, EndpointFault::Silent, now_ms, effects);
     }
 
-    pub(super) fn on_behind(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        self.unmoved_rounds = 0;
-        let rounds = match self.behind {
+    pub(super) fn on_lagging(&mut self, stage: usize, now_ms: u64, effects: &mut Vec<ChainEffect>) {
+        self.stalled_rounds = 0;
+        let rounds = match self.lagging {
             Some((other, rounds)) if other == stage => rounds + 1,
             _ => 1,
         };
-        self.behind = Some((stage, rounds));
-        self.wait_again(now_ms);
-        if self.pace.is_slow() && rounds >= SLOW_ROUNDS && self.slow_left > 0 {
+        self.lagging = Some((stage, rounds));
+        self.schedule_next_probe(now_ms);
+        if self.pace.is_slow() && rounds >= LAGGING_ROUNDS && self.slow_rebuilds_left > 0 {
             self.replace_slow(stage, effects);
         }
     }
 
-    /// Asks for a chain without a stage that holds this one up. The present epoch stays open until
-    /// there is one.
+    /// Requests a chain without the stage that slows this one down. The current epoch stays open
+    /// until a replacement is found.
     pub(super) fn replace_slow(&mut self, stage: usize, effects: &mut Vec<ChainEffect>) {
-        self.slow_left -= 1;
+        self.slow_rebuilds_left -= 1;
         let mut exclude = self.excluded.clone();
         for endpoint in self.endpoints(&[stage]) {
             effects.push(ChainEffect::Fault {
@@ -210,10 +224,10 @@
         });
     }
 
-    /// Waits as long again as the silence has lasted, within bounds.
-    pub(super) fn wait_again(&mut self, now_ms: u64) {
-        let since_ms = self.progress_at_ms.max(self.opened_at_ms);
+    /// Schedules the next probe round after as long as the silence has lasted, within bounds.
+    pub(super) fn schedule_next_probe(&mut self, now_ms: u64) {
+        let since_ms = self.last_token_at_ms.max(self.opened_at_ms);
         let silent_ms = now_ms.saturating_sub(since_ms);
-        self.suspect_at_ms = now_ms + silent_ms.clamp(WAIT_FLOOR_MS, WAIT_CEILING_MS);
+        self.probe_at_ms = now_ms + silent_ms.clamp(MIN_PROBE_INTERVAL_MS, MAX_PROBE_INTERVAL_MS);
     }
 }
