--- a/src/claims/claiming.rs
+++ b/src/claims/claiming.rs
@@ -1,9 +1,9 @@
-//! Getting the permission to dispatch: writing the claim, and what to do about another's.
+//! Acquiring the permission to dispatch: writing the claim and handling rows of other attempts.
 
-use super::key::still_remembered;
+use super::key::is_key_retained;
 use super::machine::{
-    Basis, CONFLICT_TRIES, Call, Claim, PAUSE_LIMIT_MS, SILENT_RETRY_MS, Step, THROTTLED_TRIES,
-    UNREADABLE_RETRY_MS, WORKING_RETRY_MS,
+    Call, Claim, HOLDER_BUSY_RETRY_AFTER_MS, MAX_CONFLICTS, MAX_RETRY_INTERVAL_MS,
+    MAX_THROTTLED_CALLS, NO_REPLY_RETRY_AFTER_MS, PriorRow, Step, UNREADABLE_ROW_RETRY_AFTER_MS,
 };
 use super::message::ClaimEffect;
 use super::row::{ClaimRow, ClaimState, ROW_VERSION, RecordedReply};
@@ -14,29 +14,29 @@
 use crate::wire::platform::{Condition, ReadRows, Row, Rows, TransactReply, Transaction, Write};
 
 impl Claim {
-    /// Writes the claim, on the condition that the table holds what it is based on.
+    /// Writes the claim, on the condition that the table still holds the prior row.
     pub(super) fn write_claim(&mut self) -> Vec<ClaimEffect> {
-        let Step::Claiming { basis, .. } = self.step else {
+        let Step::Claiming { prior, .. } = self.step else {
             return Vec::new();
         };
-        let write = self.put(self.row(ClaimState::Open), self.condition(basis));
+        let write = self.put(self.row(ClaimState::Open), self.condition(prior));
         self.start(Call::Claim, write)
     }
 
     /// Reads the row back after a lost reply.
-    pub(super) fn read(&mut self) -> Vec<ClaimEffect> {
+    pub(super) fn read_row(&mut self) -> Vec<ClaimEffect> {
         let keys = vec![self.row_key.clone()];
         self.start(Call::ReadBack, ClaimEffect::Read(ReadRows { keys }))
     }
 
-    /// The claim's write has an answer.
+    /// Handles the reply to the claim's write.
     pub(super) fn claim_written(
         &mut self,
         result: Result<TransactReply, TableFailure>,
         now_ms: u64,
     ) -> Vec<ClaimEffect> {
         if matches!(self.step, Step::Releasing { .. }) {
-            return self.claim_written_too_late(result, now_ms);
+            return self.claim_written_after_give_up(result, now_ms);
         }
         match result {
             Ok(TransactReply::Committed { version }) => self.granted(version, now_ms),
@@ -46,130 +46,142 @@
     }
 
     fn claim_failed(&mut self, failure: TableFailure, now_ms: u64) -> Vec<ClaimEffect> {
-        let Step::Claiming { basis, lost_ms } = self.step else {
+        let Step::Claiming {
+            prior,
+            reply_lost_ms,
+        } = self.step
+        else {
             return Vec::new();
         };
         if failure.may_have_applied() {
-            let lost_ms = lost_ms.or(Some(now_ms));
-            self.step = Step::Claiming { basis, lost_ms };
-        } else if lost_ms.is_none() {
+            let reply_lost_ms = reply_lost_ms.or(Some(now_ms));
+            self.step = Step::Claiming {
+                prior,
+                reply_lost_ms,
+            };
+        } else if reply_lost_ms.is_none() {
             return self.claim_not_applied(failure, now_ms);
         }
-        // Nothing is dispatched until a read shows whose the row is.
-        self.pause(PAUSE_LIMIT_MS, now_ms)
+        // The write may have been applied: dispatch only after a read shows which attempt owns the
+        // row.
+        self.schedule_retry(MAX_RETRY_INTERVAL_MS, now_ms)
     }
 
-    /// No write of this attempt took effect, nor will one.
+    /// Handles a failure after which no write of this attempt has been or will be applied.
     fn claim_not_applied(&mut self, failure: TableFailure, now_ms: u64) -> Vec<ClaimEffect> {
-        if failure == TableFailure::Throttled && self.tries < THROTTLED_TRIES {
-            return self.pause(PAUSE_LIMIT_MS, now_ms);
+        if failure == TableFailure::Throttled && self.failed_calls < MAX_THROTTLED_CALLS {
+            return self.schedule_retry(MAX_RETRY_INTERVAL_MS, now_ms);
         }
         self.refuse(RefusalCode::StoreUnavailable)
     }
 
-    /// The row was read after a lost reply.
+    /// Handles the result of reading the row back after a lost reply.
     pub(super) fn read_back(
         &mut self,
         result: Result<Rows, TableFailure>,
         now_ms: u64,
     ) -> Vec<ClaimEffect> {
-        if self.under_way != Some(Call::ReadBack) {
+        if self.pending_call != Some(Call::ReadBack) {
             return Vec::new();
         }
-        self.under_way = None;
+        self.pending_call = None;
         match (result, &self.step) {
-            (Ok(rows), Step::Releasing { .. }) => self.release_by(&rows.rows, now_ms),
+            (Ok(rows), Step::Releasing { .. }) => self.continue_release(&rows.rows, now_ms),
             (Err(_), Step::Releasing { .. }) => self.release(),
-            (Ok(rows), _) => self.settled_by(rows.rows, now_ms),
-            (Err(_), _) => self.pause(PAUSE_LIMIT_MS, now_ms),
+            (Ok(rows), _) => self.resolve_lost_reply(rows.rows, now_ms),
+            (Err(_), _) => self.schedule_retry(MAX_RETRY_INTERVAL_MS, now_ms),
         }
     }
 
-    /// Settles a lost reply by what the table holds.
-    fn settled_by(&mut self, rows: Vec<Row>, now_ms: u64) -> Vec<ClaimEffect> {
-        let Step::Claiming { basis, .. } = self.step else {
+    /// Resolves a lost reply from the current contents of the table.
+    fn resolve_lost_reply(&mut self, rows: Vec<Row>, now_ms: u64) -> Vec<ClaimEffect> {
+        let Step::Claiming { prior, .. } = self.step else {
             return Vec::new();
         };
         let row = rows.into_iter().find(|row| row.key == self.row_key);
         match row {
-            // The lost write may still be on its way. The same write again has the same effect, and
-            // only one of the two can take effect.
+            // The lost write may still be in transit. Writing again is safe: both writes are
+            // identical and conditional, so at most one of them is applied.
             None => self.write_claim(),
-            Some(row) if basis.version() == Some(row.version) => self.write_claim(),
-            Some(row) => self.judge(row, now_ms),
+            Some(row) if prior.version() == Some(row.version) => self.write_claim(),
+            Some(row) => self.handle_existing_row(row, now_ms),
         }
     }
 
-    /// The claim is in the table: the one place that permits a dispatch.
+    /// Handles a claim confirmed to be in the table. This is the only place that permits a dispatch.
     fn granted(&mut self, version: u64, now_ms: u64) -> Vec<ClaimEffect> {
-        let Step::Claiming { basis, .. } = self.step else {
+        let Step::Claiming { prior, .. } = self.step else {
             return Vec::new();
         };
-        let may_dispatch = !self.dispatched && !self.told;
+        let may_dispatch = !self.dispatched && !self.caller_answered;
         invariant::check(may_dispatch, "claim_dispatches_once", || {
             self.row_key.clone()
         });
         if !may_dispatch {
             return Vec::new();
         }
-        self.step = Step::Dispatched { basis, version };
-        if self.is_late(now_ms) {
+        self.step = Step::Dispatched { prior, version };
+        if self.is_past_deadline(now_ms) {
             return self.give_up(RefusalCode::DeadlineTooShort, now_ms);
         }
-        let waited_ms = now_ms.saturating_sub(self.begun_ms);
-        if !still_remembered(self.ask.key.as_str(), self.ask.at_unix_ms, waited_ms) {
+        let waited_ms = now_ms.saturating_sub(self.started_ms);
+        if !is_key_retained(
+            self.request.key.as_str(),
+            self.request.at_unix_ms,
+            waited_ms,
+        ) {
             return self.give_up(RefusalCode::KeyTooOld, now_ms);
         }
-        self.due_ms = None;
+        self.next_call_ms = None;
         self.dispatched = true;
         vec![ClaimEffect::Dispatch]
     }
 
     fn conflicted(&mut self, rows: Vec<Row>, now_ms: u64) -> Vec<ClaimEffect> {
         self.conflicts += 1;
-        if self.conflicts > CONFLICT_TRIES {
-            return self.close_unknown(Some(self.spread(WORKING_RETRY_MS)));
+        if self.conflicts > MAX_CONFLICTS {
+            return self.close_unknown(Some(self.jittered(HOLDER_BUSY_RETRY_AFTER_MS)));
         }
         match rows.into_iter().find(|row| row.key == self.row_key) {
-            Some(row) => self.judge(row, now_ms),
-            None => self.claim_over(Basis::Absent),
+            Some(row) => self.handle_existing_row(row, now_ms),
+            None => self.replace_prior(PriorRow::Absent),
         }
     }
 
-    /// Decides by what the table holds under the key.
-    fn judge(&mut self, row: Row, now_ms: u64) -> Vec<ClaimEffect> {
+    /// Decides how to proceed from the row found under the key.
+    fn handle_existing_row(&mut self, row: Row, now_ms: u64) -> Vec<ClaimEffect> {
         let Ok(found) = ClaimRow::try_from(row.value.as_str()) else {
-            return self.close_unknown(Some(self.spread(UNREADABLE_RETRY_MS)));
+            return self.close_unknown(Some(self.jittered(UNREADABLE_ROW_RETRY_AFTER_MS)));
         };
-        if found.attempt == self.ask.attempt && found.state == ClaimState::Open {
+        if found.attempt == self.request.attempt && found.state == ClaimState::Open {
             return self.granted(row.version, now_ms);
         }
         if found.state == ClaimState::Released {
-            return self.claim_over(Basis::Released(row.version));
+            return self.replace_prior(PriorRow::Released(row.version));
         }
-        if found.body_digest != hex::encode(self.ask.body_digest) {
+        if found.body_digest != hex::encode(self.request.body_digest) {
             return self.close(Refusal::not_run(RefusalCode::KeyReused, None));
         }
-        let may_send_again = self.ask.endpoint_deduplicates;
+        let may_send_again = self.request.endpoint_deduplicates;
         match found.state {
-            ClaimState::Open => self.ask_holder(row.version, found),
+            ClaimState::Open => self.query_holder(row.version, found),
             ClaimState::Answered { reply } => self.replay(reply),
             ClaimState::Unknown | ClaimState::AnswerTooLong { .. } if may_send_again => {
-                self.claim_over(Basis::MayHaveRun(row.version))
+                self.replace_prior(PriorRow::MayHaveRun(row.version))
             }
             ClaimState::Unknown | ClaimState::AnswerTooLong { .. } => self.close_unknown(None),
             ClaimState::Released | ClaimState::Unrecognised => {
-                self.close_unknown(Some(self.spread(UNREADABLE_RETRY_MS)))
+                self.close_unknown(Some(self.jittered(UNREADABLE_ROW_RETRY_AFTER_MS)))
             }
         }
     }
 
-    /// Writes the claim anew, in the place of what was found.
-    fn claim_over(&mut self, basis: Basis) -> Vec<ClaimEffect> {
-        self.tries = 0;
+    /// Writes the claim in place of the row that was found.
+    fn replace_prior(&mut self, prior: PriorRow) -> Vec<ClaimEffect> {
+        self.failed_calls = 0;
         self.step = Step::Claiming {
-            basis,
-            lost_ms: None,
+            prior,
+            reply_lost_ms: None,
         };
         self.write_claim()
     }
@@ -177,42 +189,44 @@
     fn replay(&mut self, reply: RecordedReply) -> Vec<ClaimEffect> {
         match ApplicationReply::try_from(reply) {
             Ok(reply) => {
-                self.told = true;
+                self.caller_answered = true;
                 let mut effects = vec![ClaimEffect::Replay(reply)];
-                effects.extend(self.settle());
+                effects.extend(self.finish());
                 effects
             }
             Err(_) => self.close_unknown(None),
         }
     }
 
-    fn ask_holder(&mut self, version: u64, found: ClaimRow) -> Vec<ClaimEffect> {
+    fn query_holder(&mut self, version: u64, found: ClaimRow) -> Vec<ClaimEffect> {
         let holder = found.holder.clone();
         let row = Box::new(found);
-        self.step = Step::Asking { version, row };
-        let ask = ClaimEffect::AskHolder {
+        self.step = Step::QueryingHolder { version, row };
+        let query = ClaimEffect::AskHolder {
             instance: holder.instance,
             address: holder.address,
             incarnation: holder.incarnation,
             claim: self.row_key.clone(),
         };
-        self.start(Call::Ask, ask)
+        self.start(Call::Ask, query)
     }
 
-    /// The holder of another attempt's open row was asked.
+    /// Handles the reply of the holder of another attempt's open row.
     pub(super) fn holder_answered(&mut self, working: Option<bool>) -> Vec<ClaimEffect> {
-        if self.under_way != Some(Call::Ask) {
+        if self.pending_call != Some(Call::Ask) {
             return Vec::new();
         }
-        self.under_way = None;
-        let Step::Asking { version, ref row } = self.step else {
+        self.pending_call = None;
+        let Step::QueryingHolder { version, ref row } = self.step else {
             return Vec::new();
         };
         match working {
-            Some(true) => self.close_unknown(Some(self.spread(WORKING_RETRY_MS))),
-            _ if self.ask.endpoint_deduplicates => self.claim_over(Basis::MayHaveRun(version)),
-            // Its holder may be paused, and may dispatch when it wakes.
-            None => self.close_unknown(Some(self.spread(SILENT_RETRY_MS))),
+            Some(true) => self.close_unknown(Some(self.jittered(HOLDER_BUSY_RETRY_AFTER_MS))),
+            _ if self.request.endpoint_deduplicates => {
+                self.replace_prior(PriorRow::MayHaveRun(version))
+            }
+            // The holder may be suspended, and may dispatch once it resumes.
+            None => self.close_unknown(Some(self.jittered(NO_REPLY_RETRY_AFTER_MS))),
             Some(false) => {
                 let row = row.clone();
                 self.mark_unknown(version, *row)
@@ -220,9 +234,9 @@
         }
     }
 
-    /// Makes `unknown` final, unless the holder's last write came first.
+    /// Marks the row as `unknown` permanently, unless the holder has written to it in the meantime.
     fn mark_unknown(&mut self, version: u64, found: ClaimRow) -> Vec<ClaimEffect> {
-        self.step = Step::Marking;
+        self.step = Step::MarkingUnknown;
         let row = ClaimRow {
             wire_version: ROW_VERSION,
             state: ClaimState::Unknown,
@@ -232,7 +246,7 @@
         self.start(Call::Mark, write)
     }
 
-    /// The mark has an answer.
+    /// Handles the reply to the `unknown` mark.
     pub(super) fn marked(
         &mut self,
         result: Result<TransactReply, TableFailure>,
@@ -241,37 +255,37 @@
         match result {
             Ok(TransactReply::Committed { .. }) => self.close_unknown(None),
             Ok(TransactReply::Conflict { rows }) => self.conflicted(rows, now_ms),
-            Err(_) => self.close_unknown(Some(self.spread(SILENT_RETRY_MS))),
+            Err(_) => self.close_unknown(Some(self.jittered(NO_REPLY_RETRY_AFTER_MS))),
         }
     }
 
-    /// A refusal of this attempt before it dispatched, true of the key as a whole: a call that may
-    /// have run under an earlier attempt is never called `not-run`.
+    /// Builds the refusal for an attempt that has not dispatched. It must hold for the key as a
+    /// whole: a call that may have run under an earlier attempt is never reported as `not-run`.
     pub(super) fn refusal(&self, code: RefusalCode) -> Refusal {
         let retry_after_ms = match code {
             RefusalCode::KeyTooOld => None,
-            _ => Some(self.spread(SILENT_RETRY_MS)),
+            _ => Some(self.jittered(NO_REPLY_RETRY_AFTER_MS)),
         };
-        match self.step.basis() {
-            Some(Basis::MayHaveRun(_)) => Refusal::unknown(code, retry_after_ms),
+        match self.step.prior() {
+            Some(PriorRow::MayHaveRun(_)) => Refusal::unknown(code, retry_after_ms),
             _ => Refusal::not_run(code, retry_after_ms),
         }
     }
 
-    /// This attempt's row.
+    /// Builds this attempt's row.
     pub(super) fn row(&self, state: ClaimState) -> ClaimRow {
         ClaimRow {
             wire_version: ROW_VERSION,
-            attempt: self.ask.attempt,
-            holder: self.ask.holder.clone(),
-            body_digest: hex::encode(self.ask.body_digest),
-            at_unix_ms: self.ask.at_unix_ms,
+            attempt: self.request.attempt,
+            holder: self.request.holder.clone(),
+            body_digest: hex::encode(self.request.body_digest),
+            at_unix_ms: self.request.at_unix_ms,
             state,
         }
     }
 
-    pub(super) fn condition(&self, basis: Basis) -> Condition {
-        match basis.version() {
+    pub(super) fn condition(&self, prior: PriorRow) -> Condition {
+        match prior.version() {
             Some(version) => self.at_version(version),
             None => Condition::BeAbsent {
                 key: self.row_key.clone(),
--- a/src/claims/key.rs
+++ b/src/claims/key.rs
@@ -1,4 +1,4 @@
-//! Row keys of claims, and how long a key is remembered.
+//! Row keys of claims and retention of idempotency keys.
 
 use std::fmt::Write as _;
 
@@ -7,22 +7,22 @@
 use crate::ids::{AccountId, IdempotencyKey, ServiceName};
 use crate::outcome::RefusalCode;
 
-/// Start of the keys of all claims.
+/// Prefix of the row keys of all claims.
 pub const CLAIM_PREFIX: &str = "claim/";
-/// How long a UUIDv7 key is remembered from the time it carries. An older one is refused.
-pub const KEY_MEMORY_MS: u64 = 24 * 60 * 60 * 1_000;
-/// How long any other key is remembered from the last write of its row. Used again after that, it
-/// runs again.
-pub const OTHER_KEY_MEMORY_MS: u64 = 7 * KEY_MEMORY_MS;
-/// A row outlives the memory of its key by this much. Two instances' clocks may differ by half of
-/// it at most.
+/// Retention of a UUIDv7 key, counted from its embedded timestamp. Older keys are refused.
+pub const UUIDV7_KEY_TTL_MS: u64 = 24 * 60 * 60 * 1_000;
+/// Retention of any other key, counted from the last write of its row. A call that reuses the key
+/// after that is run again.
+pub const OTHER_KEY_TTL_MS: u64 = 7 * UUIDV7_KEY_TTL_MS;
+/// How much longer than its key a row is kept. The clocks of two instances may differ by at most
+/// half of this.
 pub const CLOCK_MARGIN_MS: u64 = 60 * 60 * 1_000;
-/// Longest key accepted.
-pub(crate) const KEY_LIMIT_BYTES: usize = 255;
+/// Maximum length of an accepted key.
+pub(crate) const MAX_KEY_BYTES: usize = 255;
 
-/// Key of the row that holds the claim of `key`.
+/// Returns the key of the row that holds the claim for `key`.
 ///
-/// Each part is escaped, so that two different triples never share a row.
+/// Each part is escaped, so that distinct (service, account, key) triples never share a row.
 pub fn row_key(service: &ServiceName, account: &AccountId, key: &IdempotencyKey) -> String {
     let mut row = String::from(CLAIM_PREFIX);
     push_escaped(&mut row, service.as_str());
@@ -33,7 +33,7 @@
     row
 }
 
-/// Appends `part` with all but letters, digits, `-`, `_` and `.` as `%XX`.
+/// Appends `part`, percent-encoding every byte except letters, digits, `-`, `_` and `.`.
 fn push_escaped(row: &mut String, part: &str) {
     for byte in part.bytes() {
         match byte {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The key's own time, if it is a UUIDv7.
+/// Returns the timestamp embedded in the key if it is a UUIDv7.
 pub(crate) fn key_time_unix_ms(key: &str) -> Option<u64> {
     let uuid = Uuid::try_parse(key).ok()?;
     if uuid.get_version_num() != 7 {
@@ -54,33 +54,34 @@
     Some(seconds * 1_000 + u64::from(nanos / 1_000_000))
 }
 
-/// Checks a key at `unix_ms`, before anything is written.
+/// Validates a key at `unix_ms`, before anything is written.
 pub(crate) fn check_key(key: &str, unix_ms: u64) -> Result<(), RefusalCode> {
-    if key.is_empty() || key.len() > KEY_LIMIT_BYTES {
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
         return Err(RefusalCode::BadHeader);
     }
     let Some(key_unix_ms) = key_time_unix_ms(key) else {
         return Ok(());
     };
-    if key_unix_ms.saturating_add(KEY_MEMORY_MS) < unix_ms {
+    if key_unix_ms.saturating_add(UUIDV7_KEY_TTL_MS) < unix_ms {
         return Err(RefusalCode::KeyTooOld);
     }
-    // A key from far ahead would have to be remembered until its time has come.
-    if key_unix_ms > unix_ms.saturating_add(KEY_MEMORY_MS) {
+    // A key dated far in the future would have to be kept until that time.
+    if key_unix_ms > unix_ms.saturating_add(UUIDV7_KEY_TTL_MS) {
         return Err(RefusalCode::BadHeader);
     }
     Ok(())
 }
 
-/// Whether a claim begun at `begun_unix_ms` may still be dispatched `waited_ms` later.
+/// Whether a claim started at `started_unix_ms` may still be dispatched `waited_ms` later.
 ///
-/// Past half the margin the row of an earlier run may have been swept since the key was checked.
-pub(crate) fn still_remembered(key: &str, begun_unix_ms: u64, waited_ms: u64) -> bool {
+/// Beyond half of [`CLOCK_MARGIN_MS`], the row of an earlier run may have been swept since the key
+/// was checked.
+pub(crate) fn is_key_retained(key: &str, started_unix_ms: u64, waited_ms: u64) -> bool {
     let half_margin_ms = CLOCK_MARGIN_MS / 2;
     match key_time_unix_ms(key) {
         Some(key_unix_ms) => {
-            let now_unix_ms = begun_unix_ms.saturating_add(waited_ms);
-            now_unix_ms <= key_unix_ms.saturating_add(KEY_MEMORY_MS + half_margin_ms)
+            let now_unix_ms = started_unix_ms.saturating_add(waited_ms);
+            now_unix_ms <= key_unix_ms.saturating_add(UUIDV7_KEY_TTL_MS + half_margin_ms)
         }
         None => true,
     }
--- a/src/claims/message.rs
+++ b/src/claims/message.rs
@@ -11,86 +11,86 @@
 use crate::outcome::Refusal;
 use crate::wire::platform::{ReadRows, Rows, TransactReply, Transaction};
 
-/// The process lifetime that holds a claim.
+/// Identifies the process incarnation that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimHolder {
-    /// Its instance.
+    /// Instance that runs the process.
     pub instance: InstanceId,
-    /// Where that instance takes requests.
+    /// Address at which the instance accepts requests.
     pub address: SocketAddr,
-    /// The process lifetime.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
 }
 
-/// One attempt to run a non-idempotent call.
+/// Request to run a non-idempotent call in one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The account that asks.
+    /// Account of the caller.
     pub account: AccountId,
-    /// The service called.
+    /// Service to call.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Idempotency key chosen by the caller.
     pub key: IdempotencyKey,
     /// SHA-256 over method, path and body.
     pub body_digest: [u8; 32],
-    /// The attempt; drawn anew for each request that arrives.
+    /// Attempt ID; generated anew for each incoming request.
     pub attempt: Uuid,
-    /// This process.
+    /// The process making the attempt.
     pub holder: ClaimHolder,
-    /// Wall clock at `begin`.
+    /// Wall-clock time at `begin`.
     pub at_unix_ms: u64,
-    /// Whether the endpoint deduplicates by the key, which makes a second send safe.
+    /// Whether the endpoint deduplicates by the key, which makes it safe to send the call again.
     pub endpoint_deduplicates: bool,
-    /// No dispatch after this time.
+    /// Time after which the call must not be dispatched.
     pub deadline: Option<Deadline>,
 }
 
-/// What reaches a claim.
+/// Input to a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimMessage {
-    /// Answer to the last [`ClaimEffect::Transact`].
+    /// Reply to the last [`ClaimEffect::Transact`].
     Transacted(Result<TransactReply, TableFailure>),
-    /// Answer to the last [`ClaimEffect::Read`].
+    /// Reply to the last [`ClaimEffect::Read`].
     ReadBack(Result<Rows, TableFailure>),
-    /// Answer to the last [`ClaimEffect::AskHolder`]: whether that incarnation works on the claim;
-    /// `Some(false)` also when another incarnation answered at that address, `None` without an
-    /// answer.
+    /// Reply to the last [`ClaimEffect::AskHolder`]: whether that incarnation is working on the
+    /// claim. `Some(false)` also if a different incarnation answered at that address; `None` if
+    /// there was no reply.
     HolderAnswered(Option<bool>),
-    /// The endpoint answered, whole. The entry sends this answer to its caller itself, at once.
+    /// The endpoint sent a complete answer, which the entry forwards to its caller immediately.
     Answered(ApplicationReply),
-    /// The call was dispatched and no whole answer came.
+    /// The call was dispatched, but no complete answer arrived.
     ResultUnknown,
-    /// After [`ClaimEffect::Dispatch`]: no byte left, and none will.
+    /// After [`ClaimEffect::Dispatch`]: no byte of the call was sent, and none will be.
     NotDispatched,
     /// The time of [`super::Claim::wake_at_ms`] has come.
     Wake,
 }
 
-/// What a claim wants done. Each call of `handle` returns at most one of `Transact`, `Read` and
-/// `AskHolder`, and only when none of them is under way.
+/// Actions requested by a claim. Each call of `handle` returns at most one of `Transact`, `Read` and
+/// `AskHolder`, and only when none of them is outstanding.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEffect {
     /// Write to the table service.
     Transact(Transaction),
     /// Read from the table service.
     Read(ReadRows),
-    /// Ask the holder of the row whether it still works on it.
+    /// Query whether the holder of the row is still working on the claim.
     AskHolder {
-        /// The holder's instance.
+        /// Instance of the holder.
         instance: InstanceId,
-        /// Where that instance takes requests.
+        /// Address at which the instance accepts requests.
         address: SocketAddr,
-        /// Incarnation in the row.
+        /// Incarnation recorded in the row.
         incarnation: Incarnation,
         /// Key of the row.
         claim: String,
     },
-    /// Send the call to an endpoint. At most once in the life of a claim.
+    /// Send the call to an endpoint. Returned at most once per claim.
     Dispatch,
     /// Send the recorded answer to the caller.
     Replay(ApplicationReply),
-    /// Send the final word to the caller. The claim never dispatches afterwards.
+    /// Send the final error to the caller. The claim never dispatches afterwards.
     Refuse(Refusal),
-    /// Nothing is left to do: drop the claim. Always the last effect.
+    /// The claim has ended and can be dropped. Always the last effect.
     Settled,
 }
--- a/src/claims/mod.rs
+++ b/src/claims/mod.rs
@@ -1,6 +1,7 @@
-//! Non-idempotent calls: a claim in the table service is the only permission to dispatch one.
+//! At-most-once execution of non-idempotent calls: a call may be dispatched only by the attempt
+//! whose claim is in the table service.
 //!
-//! The design and what it rests on are in `docs/notes/CLAIMS.md`.
+//! For the design and its assumptions see `docs/notes/CLAIMS.md`.
 
 mod claiming;
 mod key;
@@ -12,10 +13,10 @@
 #[cfg(test)]
 mod tests;
 
-pub use key::{CLAIM_PREFIX, CLOCK_MARGIN_MS, KEY_MEMORY_MS, OTHER_KEY_MEMORY_MS, row_key};
+pub use key::{CLAIM_PREFIX, CLOCK_MARGIN_MS, OTHER_KEY_TTL_MS, UUIDV7_KEY_TTL_MS, row_key};
 pub use machine::Claim;
 pub use message::{ClaimEffect, ClaimHolder, ClaimMessage, ClaimRequest};
 pub use row::{
-    ANSWER_LIMIT_BYTES, ClaimRow, ClaimState, RecordedBody, RecordedReply, RowUnreadable,
+    ClaimRow, ClaimState, MAX_RECORDED_BODY_BYTES, RecordedBody, RecordedReply, RowError,
 };
 pub use sweep::sweep;
--- a/src/claims/recording.rs
+++ b/src/claims/recording.rs
@@ -1,7 +1,8 @@
-//! After the permission: recording what became of the call, or taking the claim back.
+//! After the claim is granted: recording the result of the call, or releasing the claim.
 
 use super::machine::{
-    Basis, Call, Claim, IDLE_PAUSE_LIMIT_MS, PAUSE_LIMIT_MS, SILENT_RETRY_MS, Step,
+    Call, Claim, MAX_BACKGROUND_RETRY_INTERVAL_MS, MAX_RETRY_INTERVAL_MS, NO_REPLY_RETRY_AFTER_MS,
+    PriorRow, Step,
 };
 use super::message::ClaimEffect;
 use super::row::{ClaimRow, ClaimState};
@@ -11,24 +12,24 @@
 use crate::wire::platform::{Row, TransactReply};
 
 impl Claim {
-    /// The endpoint answered; the entry has sent the answer on.
+    /// Records the endpoint's answer, which the entry has already forwarded.
     pub(super) fn answered(&mut self, reply: &ApplicationReply, now_ms: u64) -> Vec<ClaimEffect> {
-        self.begin_recording(ClaimState::recording(reply), now_ms)
+        self.begin_recording(ClaimState::from_reply(reply), now_ms)
     }
 
-    /// The endpoint may have run the call, and its answer is lost.
+    /// Handles a lost answer: the endpoint may have run the call.
     pub(super) fn result_unknown(&mut self, now_ms: u64) -> Vec<ClaimEffect> {
         if !matches!(self.step, Step::Dispatched { .. }) {
             return Vec::new();
         }
-        let retry_after_ms = Some(self.spread(SILENT_RETRY_MS));
+        let retry_after_ms = Some(self.jittered(NO_REPLY_RETRY_AFTER_MS));
         let refusal = Refusal::unknown(RefusalCode::ResultUnknown, retry_after_ms);
         let mut effects = vec![ClaimEffect::Refuse(refusal)];
         effects.extend(self.begin_recording(ClaimState::Unknown, now_ms));
         effects
     }
 
-    /// The call surely never left, and never will.
+    /// Handles a dispatch that failed before any byte of the call was sent.
     pub(super) fn not_dispatched(&mut self, now_ms: u64) -> Vec<ClaimEffect> {
         match self.step {
             Step::Dispatched { .. } => self.give_up(RefusalCode::EndpointFailed, now_ms),
@@ -40,8 +41,8 @@
         let Step::Dispatched { version, .. } = self.step else {
             return Vec::new();
         };
-        self.told = true;
-        self.tries = 0;
+        self.caller_answered = true;
+        self.failed_calls = 0;
         self.step = Step::Recording {
             version,
             state: Box::new(state),
@@ -50,7 +51,7 @@
         self.record()
     }
 
-    /// Writes what became of the call.
+    /// Writes the result of the call.
     pub(super) fn record(&mut self) -> Vec<ClaimEffect> {
         let Step::Recording {
             version, ref state, ..
@@ -63,23 +64,23 @@
         self.start(Call::Record, write)
     }
 
-    /// The record has an answer. A lost reply needs no read: the same write again either takes
-    /// effect or shows what did.
+    /// Handles the reply to the record's write. A lost reply needs no read: repeating the write
+    /// either succeeds or returns the row that was written.
     pub(super) fn recorded(
         &mut self,
         result: Result<TransactReply, TableFailure>,
         now_ms: u64,
     ) -> Vec<ClaimEffect> {
         match result {
-            Ok(TransactReply::Committed { .. }) => self.settle(),
-            Ok(TransactReply::Conflict { rows }) => self.record_over(&rows),
-            Err(_) => self.pause(IDLE_PAUSE_LIMIT_MS, now_ms),
+            Ok(TransactReply::Committed { .. }) => self.finish(),
+            Ok(TransactReply::Conflict { rows }) => self.record_conflicted(&rows),
+            Err(_) => self.schedule_retry(MAX_BACKGROUND_RETRY_INTERVAL_MS, now_ms),
         }
     }
 
-    /// The row changed under the record. An `unknown` that another attempt wrote is written over;
-    /// a claim that another attempt has since made is left alone.
-    fn record_over(&mut self, rows: &[Row]) -> Vec<ClaimEffect> {
+    /// Handles a conflict on the record's write. An `unknown` mark written by another attempt is
+    /// overwritten; a newer claim of another attempt is kept.
+    fn record_conflicted(&mut self, rows: &[Row]) -> Vec<ClaimEffect> {
         let found = self.own_row(rows);
         let Step::Recording {
             ref mut version,
@@ -94,68 +95,68 @@
                 *version = found_version;
                 self.record()
             }
-            _ => self.settle(),
+            _ => self.finish(),
         }
     }
 
-    /// Refuses before any dispatch, at once, and takes back what may be in the table.
+    /// Refuses immediately, before any dispatch, and releases a claim that may be in the table.
     pub(super) fn give_up(&mut self, code: RefusalCode, now_ms: u64) -> Vec<ClaimEffect> {
-        let Some(basis) = self.step.basis() else {
+        let Some(prior) = self.step.prior() else {
             return Vec::new();
         };
         let refusal = self.refusal(code);
-        self.told = true;
-        self.tries = 0;
-        self.due_ms = None;
+        self.caller_answered = true;
+        self.failed_calls = 0;
+        self.next_call_ms = None;
         self.step = Step::Releasing {
-            basis,
+            prior,
             version: self.step.granted_version(),
             since_ms: now_ms,
         };
         let mut effects = vec![ClaimEffect::Refuse(refusal)];
-        if self.under_way.is_none() {
+        if self.pending_call.is_none() {
             effects.extend(self.release());
         }
         effects
     }
 
-    /// The claim's write has an answer after the attempt was given up.
-    pub(super) fn claim_written_too_late(
+    /// Handles a reply to the claim's write that arrives after the attempt has given up.
+    pub(super) fn claim_written_after_give_up(
         &mut self,
         result: Result<TransactReply, TableFailure>,
         now_ms: u64,
     ) -> Vec<ClaimEffect> {
         match result {
             Ok(TransactReply::Committed { version }) => self.release_at(version),
-            Ok(TransactReply::Conflict { rows }) => self.release_by(&rows, now_ms),
-            Err(_) => self.pause(IDLE_PAUSE_LIMIT_MS, now_ms),
+            Ok(TransactReply::Conflict { rows }) => self.continue_release(&rows, now_ms),
+            Err(_) => self.schedule_retry(MAX_BACKGROUND_RETRY_INTERVAL_MS, now_ms),
         }
     }
 
-    /// Writes a row that says that this attempt never dispatched. With no row in the table it is
-    /// written all the same: it bars a claim that is still on its way there.
+    /// Writes a row stating that this attempt never dispatched. The row is written even if the table
+    /// has none, so that a claim write still in transit fails.
     pub(super) fn release(&mut self) -> Vec<ClaimEffect> {
-        let Step::Releasing { basis, version, .. } = self.step else {
+        let Step::Releasing { prior, version, .. } = self.step else {
             return Vec::new();
         };
         let condition = match version {
             Some(version) => self.at_version(version),
-            None => self.condition(basis),
+            None => self.condition(prior),
         };
-        let write = self.put(self.row(basis.state_without_dispatch()), condition);
+        let write = self.put(self.row(prior.state_without_dispatch()), condition);
         self.start(Call::Release, write)
     }
 
-    /// The release has an answer.
+    /// Handles the reply to the release.
     pub(super) fn released(
         &mut self,
         result: Result<TransactReply, TableFailure>,
         now_ms: u64,
     ) -> Vec<ClaimEffect> {
         match result {
-            Ok(TransactReply::Committed { .. }) => self.settle(),
-            Ok(TransactReply::Conflict { rows }) => self.release_by(&rows, now_ms),
-            Err(_) => self.pause(IDLE_PAUSE_LIMIT_MS, now_ms),
+            Ok(TransactReply::Committed { .. }) => self.finish(),
+            Ok(TransactReply::Conflict { rows }) => self.continue_release(&rows, now_ms),
+            Err(_) => self.schedule_retry(MAX_BACKGROUND_RETRY_INTERVAL_MS, now_ms),
         }
     }
 
@@ -169,10 +170,11 @@
         self.release()
     }
 
-    /// Goes on by what the table holds: this attempt's open row is released, and a claim that may
-    /// still be on its way is barred. With any other row there is nothing to take back.
-    pub(super) fn release_by(&mut self, rows: &[Row], now_ms: u64) -> Vec<ClaimEffect> {
-        let Step::Releasing { basis, version, .. } = self.step else {
+    /// Continues the release from the current rows: this attempt's open row is released, and a claim
+    /// write that may still be in transit is blocked. Any other row means that nothing is left to
+    /// release.
+    pub(super) fn continue_release(&mut self, rows: &[Row], now_ms: u64) -> Vec<ClaimEffect> {
+        let Step::Releasing { prior, version, .. } = self.step else {
             return Vec::new();
         };
         let found_version = rows
@@ -181,23 +183,23 @@
             .map(|row| row.version);
         match self.own_row(rows) {
             Some((version, found)) if found.state == ClaimState::Open => self.release_at(version),
-            None if version.is_none() && found_version == basis.version() => {
-                self.pause(PAUSE_LIMIT_MS, now_ms)
+            None if version.is_none() && found_version == prior.version() => {
+                self.schedule_retry(MAX_RETRY_INTERVAL_MS, now_ms)
             }
-            _ => self.settle(),
+            _ => self.finish(),
         }
     }
 
-    /// The row, if it is this attempt's, with its version.
+    /// Returns the row and its version if it belongs to this attempt.
     fn own_row(&self, rows: &[Row]) -> Option<(u64, ClaimRow)> {
         let row = rows.iter().find(|row| row.key == self.row_key)?;
         let found = ClaimRow::try_from(row.value.as_str()).ok()?;
-        (found.attempt == self.ask.attempt).then_some((row.version, found))
+        (found.attempt == self.request.attempt).then_some((row.version, found))
     }
 }
 
-impl Basis {
-    /// Version of the row that was there.
+impl PriorRow {
+    /// Version of the row, if there was one.
     pub(super) fn version(self) -> Option<u64> {
         match self {
             Self::Absent => None,
@@ -205,7 +207,7 @@
         }
     }
 
-    /// What is true of the key when an attempt on this basis did not dispatch.
+    /// State of the key after an attempt that replaced this row without dispatching.
     fn state_without_dispatch(self) -> ClaimState {
         match self {
             Self::Absent | Self::Released(_) => ClaimState::Released,
@@ -215,17 +217,17 @@
 }
 
 impl Step {
-    /// What this attempt's claim is based on, before it dispatched.
-    pub(super) fn basis(&self) -> Option<Basis> {
+    /// The row that this attempt's claim replaces, while known.
+    pub(super) fn prior(&self) -> Option<PriorRow> {
         match *self {
-            Self::Claiming { basis, .. }
-            | Self::Dispatched { basis, .. }
-            | Self::Releasing { basis, .. } => Some(basis),
+            Self::Claiming { prior, .. }
+            | Self::Dispatched { prior, .. }
+            | Self::Releasing { prior, .. } => Some(prior),
             _ => None,
         }
     }
 
-    /// Version of this attempt's claim, once known.
+    /// Version of this attempt's claim, once granted.
     fn granted_version(&self) -> Option<u64> {
         match *self {
             Self::Dispatched { version, .. } => Some(version),
--- a/src/claims/row.rs
+++ b/src/claims/row.rs
@@ -1,4 +1,4 @@
-//! The value of a claim's row.
+//! Stored value of a claim's row.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -8,41 +8,41 @@
 use crate::instance::ApplicationReply;
 use crate::wire::WIRE_VERSION;
 
-/// Longest answer body that is recorded. Of a longer one only its length and digest are kept, and
-/// who asks again hears `unknown`.
-pub const ANSWER_LIMIT_BYTES: usize = 64 * 1_024;
+/// Maximum size of a recorded answer body. For a larger body only its length and digest are stored,
+/// and a repeated request is answered with `unknown`.
+pub const MAX_RECORDED_BODY_BYTES: usize = 64 * 1_024;
 
 /// The value of a claim's row, as JSON.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRow {
     /// [`WIRE_VERSION`] of the writer.
     pub wire_version: u16,
-    /// The attempt that may dispatch, or did.
+    /// Attempt that may dispatch or has dispatched.
     pub attempt: Uuid,
-    /// Who made the attempt.
+    /// Process that made the attempt.
     pub holder: ClaimHolder,
     /// SHA-256 over method, path and body, in hex.
     pub body_digest: String,
-    /// Wall clock of the writer.
+    /// Wall-clock time of the writer.
     pub at_unix_ms: u64,
-    /// Where the attempt stands.
+    /// State of the attempt.
     pub state: ClaimState,
 }
 
-/// Where the attempt of a row stands.
+/// State of the attempt that wrote a row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum ClaimState {
-    /// The holder may have dispatched, or may yet.
+    /// The holder may have dispatched or may still do so.
     Open,
-    /// The attempt never dispatched and never will: another may write its own in this one's place.
+    /// The attempt has not dispatched and never will: another attempt may replace the row.
     Released,
     /// The endpoint answered.
     Answered {
         /// The answer.
         reply: RecordedReply,
     },
-    /// The endpoint answered at more length than is recorded.
+    /// The endpoint's answer exceeded [`MAX_RECORDED_BODY_BYTES`].
     AnswerTooLong {
         /// HTTP status.
         status: u16,
@@ -51,9 +51,9 @@
         /// SHA-256 of the body, in hex.
         digest: String,
     },
-    /// Dispatched, or perhaps so, and the result is not known.
+    /// The call was or may have been dispatched, and its result is unknown.
     Unknown,
-    /// Written by a later release; treated like `Unknown`, and never written over.
+    /// State written by a newer release; treated like `Unknown` and never overwritten.
     #[serde(other)]
     Unrecognised,
 }
@@ -80,28 +80,28 @@
     Hex(String),
 }
 
-/// A row's value is not what this release writes or reads.
+/// Error in a row value that this release cannot read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum RowUnreadable {
-    /// Not the JSON of a claim.
-    #[error("the row's value is not a claim")]
+pub enum RowError {
+    /// The value is not the JSON of a claim.
+    #[error("row value is not a valid claim")]
     Malformed,
-    /// A hex body that is not hex.
-    #[error("the recorded body is not hex")]
+    /// The recorded hex body is not valid hex.
+    #[error("recorded body is not valid hex")]
     BodyNotHex,
 }
 
 impl TryFrom<&str> for ClaimRow {
-    type Error = RowUnreadable;
+    type Error = RowError;
 
     fn try_from(value: &str) -> Result<Self, Self::Error> {
-        serde_json::from_str(value).map_err(|_| RowUnreadable::Malformed)
+        serde_json::from_str(value).map_err(|_| RowError::Malformed)
     }
 }
 
 impl From<&ClaimRow> for String {
     fn from(row: &ClaimRow) -> Self {
-        // Every field is a string, a number or an enum of them: writing cannot fail.
+        // Every field is a string, a number or an enum of them, so serialization cannot fail.
         serde_json::to_string(row).unwrap_or_default()
     }
 }
@@ -121,12 +121,12 @@
 }
 
 impl TryFrom<RecordedReply> for ApplicationReply {
-    type Error = RowUnreadable;
+    type Error = RowError;
 
     fn try_from(recorded: RecordedReply) -> Result<Self, Self::Error> {
         let body = match recorded.body {
             RecordedBody::Text(text) => text.into_bytes(),
-            RecordedBody::Hex(text) => hex::decode(text).map_err(|_| RowUnreadable::BodyNotHex)?,
+            RecordedBody::Hex(text) => hex::decode(text).map_err(|_| RowError::BodyNotHex)?,
         };
         Ok(Self {
             status: recorded.status,
@@ -137,9 +137,9 @@
 }
 
 impl ClaimState {
-    /// The state that records `reply`.
-    pub(crate) fn recording(reply: &ApplicationReply) -> Self {
-        if reply.body.len() <= ANSWER_LIMIT_BYTES {
+    /// Returns the state that records `reply`.
+    pub(crate) fn from_reply(reply: &ApplicationReply) -> Self {
+        if reply.body.len() <= MAX_RECORDED_BODY_BYTES {
             return Self::Answered {
                 reply: reply.into(),
             };
@@ -157,5 +157,5 @@
     sha2::Sha256::digest(bytes).into()
 }
 
-/// The wire version rows are written with.
+/// Wire version written to rows.
 pub(crate) const ROW_VERSION: u16 = WIRE_VERSION;
--- a/src/claims/tests/cases.rs
+++ b/src/claims/tests/cases.rs
@@ -1,18 +1,18 @@
-//! One case each.
+//! Tests of single cases.
 
 use proptest::prelude::*;
 use uuid::Uuid;
 
 use super::super::key::check_key;
 use super::super::*;
-use super::world::{START_UNIX_MS, Table, key};
+use super::simulation::{START_UNIX_MS, Table, key};
 use crate::clients::TableFailure;
 use crate::ids::{AccountId, IdempotencyKey, InstanceId, ServiceName};
 use crate::instance::{ApplicationReply, Deadline};
 use crate::outcome::{Outcome, Refusal, RefusalCode};
 use crate::wire::platform::{Row, Rows, TransactReply, Transaction};
 
-fn ask(attempt: u128) -> ClaimRequest {
+fn request(attempt: u128) -> ClaimRequest {
     let incarnation = serde_json::from_str("\"00000000-0000-0000-0000-000000000009\"");
     ClaimRequest {
         account: AccountId::from("grill-chain"),
@@ -45,15 +45,15 @@
     }
 }
 
-/// Applies the write of `effects` and hands its reply to the claim.
+/// Applies the write in `effects` and passes its reply to the claim.
 fn write(table: &mut Table, claim: &mut Claim, effects: &[ClaimEffect]) -> Vec<ClaimEffect> {
     let reply = table.transact(&transaction(effects));
     claim.handle(ClaimMessage::Transacted(Ok(reply)), 1)
 }
 
-/// An attempt whose claim is in the table and that was told to dispatch.
-fn dispatched(table: &mut Table, ask: ClaimRequest) -> Claim {
-    let (mut claim, effects) = Claim::begin(ask, 0);
+/// Returns an attempt whose claim is in the table and that has dispatched.
+fn dispatched(table: &mut Table, request: ClaimRequest) -> Claim {
+    let (mut claim, effects) = Claim::begin(request, 0);
     assert_eq!(write(table, &mut claim, &effects), [ClaimEffect::Dispatch]);
     claim
 }
@@ -72,8 +72,8 @@
 }
 
 #[test]
-fn a_store_that_is_down_refuses_at_once() {
-    let (mut claim, _) = Claim::begin(ask(1), 0);
+fn an_unavailable_store_refuses_immediately() {
+    let (mut claim, _) = Claim::begin(request(1), 0);
     let effects = claim.handle(ClaimMessage::Transacted(Err(TableFailure::NotSent)), 1);
     let refusal = refusal(&effects);
     assert_eq!(
@@ -87,7 +87,7 @@
 #[test]
 fn a_lost_reply_is_read_back_before_the_dispatch() {
     let mut table = Table::default();
-    let (mut claim, effects) = Claim::begin(ask(1), 0);
+    let (mut claim, effects) = Claim::begin(request(1), 0);
     table.transact(&transaction(&effects));
     let lost = claim.handle(ClaimMessage::Transacted(Err(TableFailure::ReplyLost)), 5);
     assert_eq!(lost, []);
@@ -100,19 +100,19 @@
 }
 
 #[test]
-fn a_claim_given_up_on_is_released_and_then_free() {
+fn an_abandoned_claim_is_released_and_can_be_claimed_again() {
     let mut table = Table::default();
-    let (mut claim, first) = Claim::begin(ask(1), 0);
+    let (mut claim, first) = Claim::begin(request(1), 0);
     claim.handle(ClaimMessage::Transacted(Err(TableFailure::ReplyLost)), 0);
     let effects = claim.handle(ClaimMessage::Wake, 1_000);
     assert_eq!(refusal(&effects).outcome, Outcome::NotRun);
-    // The lost write arrives only now: the release finds its row and marks it.
+    // The delayed claim write is applied only now: the release finds its row and marks it.
     table.transact(&transaction(&first));
     let effects = write(&mut table, &mut claim, &effects);
     let effects = write(&mut table, &mut claim, &effects);
     assert_eq!(effects, [ClaimEffect::Settled]);
     assert_eq!(state(&table), ClaimState::Released);
-    let (mut next, effects) = Claim::begin(ask(2), 0);
+    let (mut next, effects) = Claim::begin(request(2), 0);
     let effects = write(&mut table, &mut next, &effects);
     assert_eq!(
         write(&mut table, &mut next, &effects),
@@ -121,10 +121,10 @@
 }
 
 #[test]
-fn another_body_under_the_key_is_refused() {
+fn a_different_body_under_the_key_is_refused() {
     let mut table = Table::default();
-    dispatched(&mut table, ask(1));
-    let mut other = ask(2);
+    dispatched(&mut table, request(1));
+    let mut other = request(2);
     other.body_digest = [2; 32];
     let (mut claim, effects) = Claim::begin(other, 0);
     let effects = write(&mut table, &mut claim, &effects);
@@ -137,8 +137,8 @@
 #[test]
 fn the_same_key_of_another_account_is_another_claim() {
     let mut table = Table::default();
-    dispatched(&mut table, ask(1));
-    let mut other = ask(2);
+    dispatched(&mut table, request(1));
+    let mut other = request(2);
     other.account = AccountId::from("lac-bistro");
     dispatched(&mut table, other);
 }
@@ -147,13 +147,13 @@
 fn a_recorded_answer_is_replayed_byte_for_byte() {
     let answer = reply(&[0, 159, 146, 150]);
     let mut table = Table::default();
-    let mut claim = dispatched(&mut table, ask(1));
+    let mut claim = dispatched(&mut table, request(1));
     let effects = claim.handle(ClaimMessage::Answered(answer.clone()), 1);
     assert_eq!(
         write(&mut table, &mut claim, &effects),
         [ClaimEffect::Settled]
     );
-    let (mut again, effects) = Claim::begin(ask(2), 0);
+    let (mut again, effects) = Claim::begin(request(2), 0);
     let effects = write(&mut table, &mut again, &effects);
     assert_eq!(effects, [ClaimEffect::Replay(answer), ClaimEffect::Settled]);
 }
@@ -161,11 +161,11 @@
 #[test]
 fn an_answer_too_long_to_record_is_unknown_later() {
     let mut table = Table::default();
-    let mut claim = dispatched(&mut table, ask(1));
-    let answer = reply(&vec![b'x'; ANSWER_LIMIT_BYTES + 1]);
+    let mut claim = dispatched(&mut table, request(1));
+    let answer = reply(&vec![b'x'; MAX_RECORDED_BODY_BYTES + 1]);
     let effects = claim.handle(ClaimMessage::Answered(answer), 1);
     write(&mut table, &mut claim, &effects);
-    let (mut again, effects) = Claim::begin(ask(2), 0);
+    let (mut again, effects) = Claim::begin(request(2), 0);
     let effects = write(&mut table, &mut again, &effects);
     assert_eq!(
         refusal(&effects),
@@ -173,9 +173,9 @@
     );
 }
 
-/// What a second attempt hears while the first is open and its holder says `working`.
+/// Effects of a second attempt while the first is open and its holder replies `working`.
 fn second(working: Option<bool>, table: &mut Table) -> Vec<ClaimEffect> {
-    let (mut claim, effects) = Claim::begin(ask(2), 0);
+    let (mut claim, effects) = Claim::begin(request(2), 0);
     let effects = write(table, &mut claim, &effects);
     assert!(matches!(effects[..], [ClaimEffect::AskHolder { .. }]));
     assert!(!claim.may_hold_row());
@@ -187,9 +187,9 @@
 }
 
 #[test]
-fn an_open_claim_is_unknown_and_never_taken_over() {
+fn an_open_claim_is_reported_unknown_and_never_taken_over() {
     let mut table = Table::default();
-    dispatched(&mut table, ask(1));
+    dispatched(&mut table, request(1));
     for working in [Some(true), None] {
         let refusal = refusal(&second(working, &mut table));
         assert_eq!(refusal.outcome, Outcome::Unknown);
@@ -199,18 +199,18 @@
 }
 
 #[test]
-fn unknown_is_final_once_the_holder_is_gone() {
+fn the_row_is_marked_unknown_once_the_holder_is_gone() {
     let mut table = Table::default();
-    dispatched(&mut table, ask(1));
-    let heard = refusal(&second(Some(false), &mut table));
-    assert_eq!(heard, Refusal::unknown(RefusalCode::ResultUnknown, None));
+    dispatched(&mut table, request(1));
+    let refusal = refusal(&second(Some(false), &mut table));
+    assert_eq!(refusal, Refusal::unknown(RefusalCode::ResultUnknown, None));
     assert_eq!(state(&table), ClaimState::Unknown);
 }
 
 #[test]
-fn a_holder_that_was_taken_for_gone_still_records_its_answer() {
+fn a_holder_presumed_dead_still_records_its_answer() {
     let mut table = Table::default();
-    let mut holder = dispatched(&mut table, ask(1));
+    let mut holder = dispatched(&mut table, request(1));
     second(Some(false), &mut table);
     let effects = holder.handle(ClaimMessage::Answered(reply(b"saved")), 1);
     let effects = write(&mut table, &mut holder, &effects);
@@ -222,10 +222,10 @@
 }
 
 #[test]
-fn a_second_send_that_did_not_leave_is_not_called_not_run() {
+fn a_resend_that_failed_before_dispatch_is_not_reported_as_not_run() {
     let mut table = Table::default();
-    dispatched(&mut table, ask(1));
-    let mut again = ask(2);
+    dispatched(&mut table, request(1));
+    let mut again = request(2);
     again.endpoint_deduplicates = true;
     let (mut claim, effects) = Claim::begin(again, 0);
     write(&mut table, &mut claim, &effects);
@@ -241,9 +241,9 @@
 }
 
 #[test]
-fn a_deadline_that_passes_before_the_grant_bars_the_dispatch() {
+fn a_deadline_passed_before_the_grant_prevents_the_dispatch() {
     let mut table = Table::default();
-    let mut late = ask(1);
+    let mut late = request(1);
     late.deadline = Some(Deadline { at_ms: 1 });
     let (mut claim, effects) = Claim::begin(late, 0);
     let effects = write(&mut table, &mut claim, &effects);
@@ -253,13 +253,13 @@
 }
 
 #[test]
-fn a_key_is_refused_once_it_may_be_forgotten() {
-    let old = key(START_UNIX_MS - KEY_MEMORY_MS - 1_000);
+fn an_expired_key_is_refused() {
+    let old = key(START_UNIX_MS - UUIDV7_KEY_TTL_MS - 1_000);
     assert_eq!(
         check_key(old.as_str(), START_UNIX_MS),
         Err(RefusalCode::KeyTooOld)
     );
-    let ahead = key(START_UNIX_MS + KEY_MEMORY_MS + 1_000);
+    let ahead = key(START_UNIX_MS + UUIDV7_KEY_TTL_MS + 1_000);
     assert_eq!(
         check_key(ahead.as_str(), START_UNIX_MS),
         Err(RefusalCode::BadHeader)
@@ -269,10 +269,10 @@
 }
 
 #[test]
-fn an_attempt_paused_past_the_memory_of_its_key_does_not_dispatch() {
+fn an_attempt_suspended_past_the_retention_of_its_key_does_not_dispatch() {
     let mut table = Table::default();
-    let mut paused = ask(1);
-    paused.key = key(START_UNIX_MS - KEY_MEMORY_MS);
+    let mut paused = request(1);
+    paused.key = key(START_UNIX_MS - UUIDV7_KEY_TTL_MS);
     let (mut claim, effects) = Claim::begin(paused, 0);
     let granted = table.transact(&transaction(&effects));
     let effects = claim.handle(ClaimMessage::Transacted(Ok(granted)), CLOCK_MARGIN_MS);
@@ -280,22 +280,22 @@
 }
 
 #[test]
-fn a_row_of_a_later_release_is_left_alone() {
+fn a_row_of_a_newer_release_is_not_overwritten() {
     let mut table = Table::default();
-    let mut transaction = transaction(&Claim::begin(ask(1), 0).1);
+    let mut transaction = transaction(&Claim::begin(request(1), 0).1);
     if let crate::wire::platform::Write::Put { value, .. } = &mut transaction.writes[0] {
         *value = value.replace("\"open\"", "\"paused\",\"since\":7");
     }
     table.transact(&transaction);
     assert_eq!(state(&table), ClaimState::Unrecognised);
-    let (mut claim, effects) = Claim::begin(ask(2), 0);
+    let (mut claim, effects) = Claim::begin(request(2), 0);
     let effects = write(&mut table, &mut claim, &effects);
     assert_eq!(refusal(&effects).outcome, Outcome::Unknown);
 }
 
 #[test]
-fn stray_messages_change_nothing() {
-    let (mut claim, _) = Claim::begin(ask(1), 0);
+fn unexpected_messages_are_ignored() {
+    let (mut claim, _) = Claim::begin(request(1), 0);
     let answered = ClaimMessage::Answered(reply(b"early"));
     for message in [
         answered,
@@ -312,7 +312,7 @@
 
 proptest! {
     #[test]
-    fn two_triples_never_share_a_row(
+    fn distinct_triples_never_share_a_row(
         a in ("[a/%é]{0,3}", "[a/%é]{0,3}", "[a/%é]{0,3}"),
         b in ("[a/%é]{0,3}", "[a/%é]{0,3}", "[a/%é]{0,3}"),
     ) {
@@ -323,22 +323,22 @@
     }
 
     #[test]
-    fn no_key_that_is_still_accepted_is_swept(
-        key_ms in 0..4 * KEY_MEMORY_MS,
-        used_ms in 0..4 * KEY_MEMORY_MS,
-        now_ms in 0..4 * KEY_MEMORY_MS,
+    fn an_accepted_key_is_never_swept(
+        key_ms in 0..4 * UUIDV7_KEY_TTL_MS,
+        used_ms in 0..4 * UUIDV7_KEY_TTL_MS,
+        now_ms in 0..4 * UUIDV7_KEY_TTL_MS,
         skew_ms in 0..CLOCK_MARGIN_MS / 2,
     ) {
-        let mut ask = ask(1);
-        ask.key = key(START_UNIX_MS + key_ms);
-        ask.at_unix_ms = START_UNIX_MS + used_ms;
-        prop_assume!(check_key(ask.key.as_str(), ask.at_unix_ms).is_ok());
-        let accepted = check_key(ask.key.as_str(), START_UNIX_MS + now_ms).is_ok();
+        let mut request = request(1);
+        request.key = key(START_UNIX_MS + key_ms);
+        request.at_unix_ms = START_UNIX_MS + used_ms;
+        prop_assume!(check_key(request.key.as_str(), request.at_unix_ms).is_ok());
+        let accepted = check_key(request.key.as_str(), START_UNIX_MS + now_ms).is_ok();
         let mut table = Table::default();
-        table.transact(&transaction(&Claim::begin(ask, 0).1));
+        table.transact(&transaction(&Claim::begin(request, 0).1));
         let rows: Vec<Row> = table.all();
         let swept = !sweep(&rows, START_UNIX_MS + now_ms + skew_ms).is_empty();
         prop_assert!(!(accepted && swept && now_ms >= used_ms));
-        prop_assert!(swept || now_ms < key_ms.max(used_ms) + KEY_MEMORY_MS + CLOCK_MARGIN_MS);
+        prop_assert!(swept || now_ms < key_ms.max(used_ms) + UUIDV7_KEY_TTL_MS + CLOCK_MARGIN_MS);
     }
 }
--- a/src/claims/tests/interleavings.rs
+++ b/src/claims/tests/interleavings.rs
@@ -1,16 +1,16 @@
-//! Attempts of the same keys interleaved at random, with every fault.
+//! Randomly interleaved attempts under the same keys, with all kinds of faults.
 
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::world::{Attempt, Choices, START_UNIX_MS, Word, World, key};
+use super::simulation::{Attempt, Choices, FinalResponse, START_UNIX_MS, Simulation, key};
 use crate::outcome::{Outcome, RefusalCode};
 
-/// Choices from a list; 0 once it is used up.
-struct Listed(std::vec::IntoIter<u8>);
+/// Choices from a list; 0 once it is exhausted.
+struct ListedChoices(std::vec::IntoIter<u8>);
 
-impl Choices for Listed {
+impl Choices for ListedChoices {
     fn below(&mut self, n: usize) -> usize {
         usize::from(self.0.next().unwrap_or(0)) % n
     }
@@ -22,10 +22,10 @@
     }
 }
 
-/// No faults: every draw is the one that means success.
-struct Kind;
+/// Always chooses the value that means success.
+struct NoFaults;
 
-impl Choices for Kind {
+impl Choices for NoFaults {
     fn below(&mut self, n: usize) -> usize {
         n - 1
     }
@@ -34,46 +34,49 @@
 proptest! {
     #[test]
     fn a_key_runs_at_most_once(choices in proptest::collection::vec(any::<u8>(), 0..600)) {
-        let mut choices = Listed(choices.into_iter());
+        let mut choices = ListedChoices(choices.into_iter());
         let keys = [key(START_UNIX_MS)];
-        let mut world = World::new();
-        world.ask(0, &keys[0], 0);
-        world.ask(1, &keys[0], 0);
+        let mut simulation = Simulation::new();
+        simulation.submit(0, &keys[0], 0);
+        simulation.submit(1, &keys[0], 0);
         for _ in 0..200 {
-            world.step(&keys, &mut choices);
+            simulation.step(&keys, &mut choices);
         }
-        world.heal(&mut Kind);
-        prop_assert!(world.all_ended());
+        simulation.recover(&mut NoFaults);
+        prop_assert!(simulation.all_ended());
     }
 }
 
-fn run(seed: u64, kills: bool, deduplicates: bool) -> World {
+fn run(seed: u64, kills: bool, deduplicates: bool) -> Simulation {
     let mut rng = StdRng::seed_from_u64(seed);
     let keys = [
         key(START_UNIX_MS),
         key(START_UNIX_MS),
         "stock-count-7".into(),
     ];
-    let mut world = World::new();
-    world.kills = kills;
-    world.deduplicates = deduplicates;
+    let mut simulation = Simulation::new();
+    simulation.kills = kills;
+    simulation.deduplicates = deduplicates;
     for _ in 0..600 {
-        world.step(&keys, &mut rng);
+        simulation.step(&keys, &mut rng);
     }
-    world.heal(&mut Kind);
-    assert!(world.all_ended(), "seed {seed}: an attempt has no end");
-    // Whatever happened, the next to ask hears what is true of the key.
+    simulation.recover(&mut NoFaults);
+    assert!(
+        simulation.all_ended(),
+        "seed {seed}: an attempt did not end"
+    );
+    // After any run, a new attempt gets a response consistent with the key's state.
     for key in &keys {
-        let last = world.ask(0, key, 0);
-        world.heal(&mut Kind);
-        let word = world.attempts[last].word.clone();
-        let ran = world.attempts[last].runs > 0;
-        assert!(word.is_some() && (ran || !matches!(word, Some(Word::Answer(_)))));
+        let last = simulation.submit(0, key, 0);
+        simulation.recover(&mut NoFaults);
+        let response = simulation.attempts[last].response.clone();
+        let ran = simulation.attempts[last].runs > 0;
+        assert!(response.is_some() && (ran || !matches!(response, Some(FinalResponse::Answer(_)))));
     }
-    world
+    simulation
 }
 
-/// Seeds of the long run; more with `FESCUE_TEST_SEEDS`.
+/// Seeds of the long runs; `FESCUE_TEST_SEEDS` sets their number.
 fn seeds() -> std::ops::Range<u64> {
     let seeds = std::env::var("FESCUE_TEST_SEEDS").ok();
     0..seeds.and_then(|text| text.parse().ok()).unwrap_or(100)
@@ -81,23 +84,25 @@
 
 #[test]
 fn long_runs_never_run_a_key_twice() {
-    let mut words = [0; 4];
+    let mut responses = [0; 4];
     for seed in seeds() {
         println!("seed {seed}");
         for attempt in run(seed, true, false).attempts {
-            match attempt.word {
-                Some(Word::Answer(_)) => words[0] += 1,
-                Some(Word::Replayed(_)) => words[1] += 1,
-                Some(Word::Refused(refusal)) if refusal.outcome == Outcome::NotRun => words[2] += 1,
-                Some(Word::Refused(_)) => words[3] += 1,
+            match attempt.response {
+                Some(FinalResponse::Answer(_)) => responses[0] += 1,
+                Some(FinalResponse::Replayed(_)) => responses[1] += 1,
+                Some(FinalResponse::Refused(refusal)) if refusal.outcome == Outcome::NotRun => {
+                    responses[2] += 1
+                }
+                Some(FinalResponse::Refused(_)) => responses[3] += 1,
                 None => {}
             }
         }
     }
-    println!("answers, replays, not-run, unknown: {words:?}");
+    println!("answers, replays, not-run, unknown: {responses:?}");
     assert!(
-        words.iter().all(|&count| count > 0),
-        "the runs miss an outcome"
+        responses.iter().all(|&count| count > 0),
+        "an outcome never occurred: {responses:?}"
     );
 }
 
@@ -110,20 +115,20 @@
 }
 
 #[test]
-fn a_key_that_never_ran_is_free_again_while_no_process_dies() {
+fn a_key_that_never_ran_can_be_claimed_again_while_no_process_dies() {
     for seed in seeds() {
         println!("seed {seed}");
-        let world = run(seed, false, false);
+        let simulation = run(seed, false, false);
         let refused = |attempt: &Attempt| {
-            matches!(&attempt.word, Some(Word::Refused(refusal))
+            matches!(&attempt.response, Some(FinalResponse::Refused(refusal))
                 if refusal.code == RefusalCode::ResultUnknown)
         };
-        // The last three asked one key each after all faults had ended.
-        for attempt in world.attempts.iter().rev().take(3) {
-            let key_ran = world.ran(attempt.row_key());
+        // The last three attempts each used one key after all faults had ended.
+        for attempt in simulation.attempts.iter().rev().take(3) {
+            let key_ran = simulation.ran(attempt.row_key());
             assert!(
                 key_ran || !refused(attempt),
-                "seed {seed}: a free key is taken"
+                "seed {seed}: key refused although it never ran"
             );
         }
     }
--- a/src/claims/tests/mod.rs
+++ b/src/claims/tests/mod.rs
@@ -1,3 +1,3 @@
 mod cases;
 mod interleavings;
-mod world;
+mod simulation;
--- a/src/claims/tests/world.rs
+++ b/src/claims/tests/simulation.rs
@@ -1,4 +1,5 @@
-//! Several entries, a table service that loses replies, and an endpoint that counts its runs.
+//! Simulation of several entries, a table service that loses replies, and an endpoint that counts
+//! its runs.
 
 use indexmap::IndexMap;
 use uuid::Uuid;
@@ -13,9 +14,9 @@
 pub(super) const START_UNIX_MS: u64 = 1_790_000_000_000;
 const PROCESSES: usize = 3;
 
-/// Where a world takes its choices from.
+/// Source of the simulation's random choices.
 pub(super) trait Choices {
-    /// A number below `n`.
+    /// Returns a number less than `n`.
     fn below(&mut self, n: usize) -> usize;
 }
 
@@ -74,18 +75,18 @@
     }
 }
 
-/// Something an attempt's process has still to do or to hear.
-enum Todo {
+/// An action or message delivery that an attempt's process has pending.
+enum PendingAction {
     Transact(Transaction),
     Read(ReadRows),
-    Ask(Incarnation),
+    QueryHolder(Incarnation),
     Call,
-    Hear(ClaimMessage),
+    Deliver(ClaimMessage),
 }
 
-/// The final word of an attempt.
+/// The final response of an attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Word {
+pub(super) enum FinalResponse {
     Answer(Vec<u8>),
     Replayed(Vec<u8>),
     Refused(Refusal),
@@ -95,8 +96,8 @@
     claim: Claim,
     process: usize,
     incarnation: Incarnation,
-    todo: Vec<Todo>,
-    pub(super) word: Option<Word>,
+    pending: Vec<PendingAction>,
+    pub(super) response: Option<FinalResponse>,
     pub(super) runs: u32,
     settled: bool,
 }
@@ -106,12 +107,12 @@
     frozen: bool,
 }
 
-pub(super) struct World {
+pub(super) struct Simulation {
     pub(super) now_ms: u64,
     pub(super) table: Table,
     table_up: bool,
-    /// Writes whose reply was reported lost and that have not arrived yet.
-    late: Vec<Transaction>,
+    /// Writes whose reply was reported lost and that have not been applied yet.
+    delayed_writes: Vec<Transaction>,
     processes: Vec<Process>,
     pub(super) attempts: Vec<Attempt>,
     drawn: u128,
@@ -124,13 +125,13 @@
     Uuid::new_v7(time).to_string().into()
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: 0,
             table: Table::default(),
             table_up: true,
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             processes: Vec::new(),
             attempts: Vec::new(),
             drawn: 0,
@@ -138,14 +139,14 @@
             kills: true,
         };
         for _ in 0..PROCESSES {
-            let incarnation = world.incarnation();
+            let incarnation = simulation.incarnation();
             let frozen = false;
-            world.processes.push(Process {
+            simulation.processes.push(Process {
                 incarnation,
                 frozen,
             });
         }
-        world
+        simulation
     }
 
     fn draw(&mut self) -> Uuid {
@@ -158,10 +159,10 @@
         serde_json::from_value(serde_json::Value::String(id)).unwrap()
     }
 
-    /// A caller asks one process; returns the attempt's index.
-    pub(super) fn ask(&mut self, process: usize, key: &IdempotencyKey, body: u8) -> usize {
+    /// Submits a request to one process and returns the attempt's index.
+    pub(super) fn submit(&mut self, process: usize, key: &IdempotencyKey, body: u8) -> usize {
         let incarnation = self.processes[process].incarnation;
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             account: AccountId::from("grill-chain"),
             service: ServiceName::from("ledger-api"),
             key: key.clone(),
@@ -176,13 +177,13 @@
             endpoint_deduplicates: self.deduplicates,
             deadline: None,
         };
-        let (claim, effects) = Claim::begin(ask, self.now_ms);
+        let (claim, effects) = Claim::begin(request, self.now_ms);
         self.attempts.push(Attempt {
             claim,
             process,
             incarnation,
-            todo: Vec::new(),
-            word: None,
+            pending: Vec::new(),
+            response: None,
             runs: 0,
             settled: false,
         });
@@ -195,68 +196,72 @@
         let attempt = &mut self.attempts[index];
         assert!(
             !attempt.settled || effects.is_empty(),
-            "an effect after the end"
+            "effect after the end of the attempt"
         );
         for effect in effects {
             match effect {
                 ClaimEffect::Transact(transaction) => {
-                    attempt.todo.push(Todo::Transact(transaction))
+                    attempt.pending.push(PendingAction::Transact(transaction))
                 }
-                ClaimEffect::Read(read) => attempt.todo.push(Todo::Read(read)),
+                ClaimEffect::Read(read) => attempt.pending.push(PendingAction::Read(read)),
                 ClaimEffect::AskHolder { incarnation, .. } => {
-                    attempt.todo.push(Todo::Ask(incarnation));
+                    attempt
+                        .pending
+                        .push(PendingAction::QueryHolder(incarnation));
                 }
-                ClaimEffect::Dispatch => attempt.todo.push(Todo::Call),
-                ClaimEffect::Replay(reply) => attempt.say(Word::Replayed(reply.body)),
-                ClaimEffect::Refuse(refusal) => attempt.say(Word::Refused(refusal)),
+                ClaimEffect::Dispatch => attempt.pending.push(PendingAction::Call),
+                ClaimEffect::Replay(reply) => attempt.respond(FinalResponse::Replayed(reply.body)),
+                ClaimEffect::Refuse(refusal) => attempt.respond(FinalResponse::Refused(refusal)),
                 ClaimEffect::Settled => attempt.settled = true,
             }
         }
     }
 
-    fn lives(&self, index: usize) -> bool {
+    fn is_alive(&self, index: usize) -> bool {
         let attempt = &self.attempts[index];
         self.processes[attempt.process].incarnation == attempt.incarnation
     }
 
     fn can_act(&self, index: usize) -> bool {
         let frozen = self.processes[self.attempts[index].process].frozen;
-        self.lives(index) && !frozen && !self.attempts[index].settled
+        self.is_alive(index) && !frozen && !self.attempts[index].settled
     }
 
-    /// Lets an attempt do the first thing it has to do, with a fault drawn for it.
+    /// Runs the first pending action of an attempt, with a randomly chosen fault.
     pub(super) fn act<C>(&mut self, index: usize, choices: &mut C)
     where
         C: Choices,
     {
-        if !self.can_act(index) || self.attempts[index].todo.is_empty() {
+        if !self.can_act(index) || self.attempts[index].pending.is_empty() {
             return;
         }
-        let heard = match self.attempts[index].todo.remove(0) {
-            Todo::Transact(transaction) => {
+        let message = match self.attempts[index].pending.remove(0) {
+            PendingAction::Transact(transaction) => {
                 let result = self.transact(transaction, choices);
                 Some(ClaimMessage::Transacted(result))
             }
-            Todo::Read(read) => Some(ClaimMessage::ReadBack(self.read(&read, choices))),
-            Todo::Ask(incarnation) => {
-                let working = self.holder_says(index, incarnation, choices);
+            PendingAction::Read(read) => Some(ClaimMessage::ReadBack(self.read(&read, choices))),
+            PendingAction::QueryHolder(incarnation) => {
+                let working = self.query_holder(index, incarnation, choices);
                 Some(ClaimMessage::HolderAnswered(working))
             }
-            Todo::Call => Some(self.call(index, choices)),
-            Todo::Hear(message) => {
-                self.hear(index, message);
+            PendingAction::Call => Some(self.call(index, choices)),
+            PendingAction::Deliver(message) => {
+                self.deliver(index, message);
                 None
             }
         };
-        if let Some(message) = heard {
-            self.attempts[index].todo.push(Todo::Hear(message));
+        if let Some(message) = message {
+            self.attempts[index]
+                .pending
+                .push(PendingAction::Deliver(message));
         }
     }
 
-    fn hear(&mut self, index: usize, message: ClaimMessage) {
+    fn deliver(&mut self, index: usize, message: ClaimMessage) {
         let attempt = &mut self.attempts[index];
         if let ClaimMessage::Answered(reply) = &message {
-            attempt.say(Word::Answer(reply.body.clone()));
+            attempt.respond(FinalResponse::Answer(reply.body.clone()));
         }
         let effects = attempt.claim.handle(message, self.now_ms);
         self.carry_out(index, effects);
@@ -281,7 +286,7 @@
                 Err(TableFailure::ReplyLost)
             }
             4 => {
-                self.late.push(transaction);
+                self.delayed_writes.push(transaction);
                 Err(TableFailure::ReplyLost)
             }
             _ => Ok(self.table.transact(&transaction)),
@@ -303,7 +308,7 @@
         Ok(Rows { rows })
     }
 
-    fn holder_says<C>(&self, index: usize, asked: Incarnation, choices: &mut C) -> Option<bool>
+    fn query_holder<C>(&self, index: usize, asked: Incarnation, choices: &mut C) -> Option<bool>
     where
         C: Choices,
     {
@@ -324,14 +329,14 @@
         Some(process.incarnation == asked && self.attempts.iter().any(works))
     }
 
-    /// Calls the endpoint: it may run, and its answer may be lost.
+    /// Calls the endpoint. The call may or may not run, and its answer may be lost.
     fn call<C>(&mut self, index: usize, choices: &mut C) -> ClaimMessage
     where
         C: Choices,
     {
         let attempt = &mut self.attempts[index];
-        let refused = matches!(attempt.word, Some(Word::Refused(_)));
-        assert!(!refused, "a dispatch after a refusal");
+        let refused = matches!(attempt.response, Some(FinalResponse::Refused(_)));
+        assert!(!refused, "dispatch after a refusal");
         let fate = choices.below(8);
         if fate == 0 {
             return ClaimMessage::NotDispatched;
@@ -347,7 +352,7 @@
         })
     }
 
-    /// One random step of the world.
+    /// Runs one random step.
     pub(super) fn step<C>(&mut self, keys: &[IdempotencyKey], choices: &mut C)
     where
         C: Choices,
@@ -357,9 +362,9 @@
                 let process = choices.below(PROCESSES);
                 let key = &keys[choices.below(keys.len())];
                 let body = u8::from(choices.below(8) == 0);
-                self.ask(process, key, body);
+                self.submit(process, key, body);
             }
-            1 => self.pass(choices.below(400) as u64),
+            1 => self.advance(choices.below(400) as u64),
             2 => self.table_up = choices.below(3) != 0,
             3 => {
                 let process = choices.below(PROCESSES);
@@ -374,7 +379,7 @@
                     frozen,
                 };
             }
-            5 => self.arrive_late(choices),
+            5 => self.apply_delayed_write(choices),
             _ if self.attempts.is_empty() => {}
             _ => {
                 let index = choices.below(self.attempts.len());
@@ -384,29 +389,31 @@
         self.check();
     }
 
-    fn arrive_late<C>(&mut self, choices: &mut C)
+    fn apply_delayed_write<C>(&mut self, choices: &mut C)
     where
         C: Choices,
     {
-        if !self.late.is_empty() {
-            let transaction = self.late.swap_remove(choices.below(self.late.len()));
+        if !self.delayed_writes.is_empty() {
+            let transaction = self
+                .delayed_writes
+                .swap_remove(choices.below(self.delayed_writes.len()));
             self.table.transact(&transaction);
         }
     }
 
-    /// Lets time pass and wakes what is due, frozen processes aside.
-    pub(super) fn pass(&mut self, ms: u64) {
+    /// Advances time and delivers due wake-ups, except to frozen processes.
+    pub(super) fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
         for index in 0..self.attempts.len() {
             let due = self.attempts[index].claim.wake_at_ms();
             if self.can_act(index) && due.is_some_and(|due_ms| due_ms <= self.now_ms) {
-                self.hear(index, ClaimMessage::Wake);
+                self.deliver(index, ClaimMessage::Wake);
             }
         }
     }
 
-    /// Ends all faults and lets everything run to its end.
-    pub(super) fn heal<C>(&mut self, choices: &mut C)
+    /// Clears all faults and runs all attempts to completion.
+    pub(super) fn recover<C>(&mut self, choices: &mut C)
     where
         C: Choices,
     {
@@ -414,62 +421,65 @@
         for process in &mut self.processes {
             process.frozen = false;
         }
-        for transaction in std::mem::take(&mut self.late) {
+        for transaction in std::mem::take(&mut self.delayed_writes) {
             self.table.transact(&transaction);
         }
         for _ in 0..400 {
             for index in 0..self.attempts.len() {
                 self.act(index, choices);
             }
-            self.pass(50);
+            self.advance(50);
         }
         self.check();
     }
 
-    /// What must hold at any time.
+    /// Checks the invariants.
     fn check(&self) {
         let mut runs: IndexMap<&str, u32> = IndexMap::new();
         let mut answers: IndexMap<&str, &[u8]> = IndexMap::new();
         for attempt in &self.attempts {
             let row_key = attempt.claim.row_key();
             *runs.entry(row_key).or_default() += attempt.runs;
-            if let Some(Word::Refused(refusal)) = &attempt.word {
+            if let Some(FinalResponse::Refused(refusal)) = &attempt.response {
                 let not_run = refusal.outcome == Outcome::NotRun;
-                assert!(!not_run || attempt.runs == 0, "a false not-run");
+                assert!(
+                    !not_run || attempt.runs == 0,
+                    "not-run reported for a call that ran"
+                );
             }
-            if let Some(Word::Answer(body)) = &attempt.word {
+            if let Some(FinalResponse::Answer(body)) = &attempt.response {
                 answers.insert(row_key, body);
             }
         }
         for attempt in &self.attempts {
             let first = answers.get(attempt.claim.row_key());
-            if let (Some(Word::Replayed(body)), Some(first)) = (&attempt.word, first) {
+            if let (Some(FinalResponse::Replayed(body)), Some(first)) = (&attempt.response, first) {
                 assert!(
                     self.deduplicates || body == first,
-                    "another answer was replayed"
+                    "replayed answer differs from the original"
                 );
             }
         }
         let most = runs.values().copied().max().unwrap_or(0);
-        assert!(self.deduplicates || most <= 1, "a call ran {most} times");
+        assert!(self.deduplicates || most <= 1, "call ran {most} times");
     }
 
-    /// Whether every attempt of a living process has ended with a word.
+    /// Whether every attempt of a live process has ended with a response.
     pub(super) fn all_ended(&self) -> bool {
         (0..self.attempts.len())
-            .filter(|&index| self.lives(index))
-            .all(|index| self.attempts[index].settled && self.attempts[index].word.is_some())
+            .filter(|&index| self.is_alive(index))
+            .all(|index| self.attempts[index].settled && self.attempts[index].response.is_some())
     }
 }
 
 impl Attempt {
-    fn say(&mut self, word: Word) {
+    fn respond(&mut self, response: FinalResponse) {
         assert!(
-            self.word.is_none(),
-            "two final words: {:?}, {word:?}",
-            self.word
+            self.response.is_none(),
+            "two final responses: {:?}, {response:?}",
+            self.response
         );
-        self.word = Some(word);
+        self.response = Some(response);
     }
 }
 
@@ -479,7 +489,7 @@
     }
 }
 
-impl World {
+impl Simulation {
     /// Whether any attempt of a key reached the endpoint.
     pub(super) fn ran(&self, row_key: &str) -> bool {
         let mut attempts = self.attempts.iter();
