--- a/src/chain/machine.rs
+++ b/src/chain/machine.rs
@@ -218,7 +218,7 @@
         effects: &mut Vec<ChainEffect>,
     ) {
         let next = self.token_count();
-        if position != next || self.is_full() {
+        if position != next || self.is_complete() {
             let cause = if position > next {
                 DropCause::Ahead
             } else {
@@ -297,7 +297,7 @@
     }
 
     /// Whether `max_tokens` tokens have been delivered, even if the end event is missing.
-    pub(super) fn is_full(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.token_count() >= self.spec.max_tokens
     }
 
--- a/src/chain/pace.rs
+++ b/src/chain/pace.rs
@@ -78,7 +78,7 @@
 pub(crate) struct Pace {
     expected: ExpectedTiming,
     gap: MovingAverage,
-    /// Number of late gaps since the last one in time.
+    /// Number of late gaps since the last timely one.
     consecutive_late: u32,
 }
 
--- a/src/chain/rebuild.rs
+++ b/src/chain/rebuild.rs
@@ -80,10 +80,10 @@
     /// state, and every stage before it, since it needs their activations.
     pub(super) fn mark_recompute(&mut self, mut stages: Vec<Stage>) -> Vec<Stage> {
         let may_import = self.may_import;
-        let holding = &self.kv_holders;
+        let kv_holders = &self.kv_holders;
         let ready = |stage: &Stage| {
             let imports = may_import && !stage.recompute && stage.import_from.is_some();
-            let held = holding.get(&stage.endpoint);
+            let held = kv_holders.get(&stage.endpoint);
             imports || held.is_some_and(|layers| layers.covers(stage.layers))
         };
         let first_kept = stages
@@ -147,10 +147,10 @@
         now_ms: u64,
         effects: &mut Vec<ChainEffect>,
     ) {
-        let again = std::mem::replace(&mut self.kv_missing, true);
+        let is_repeated = std::mem::replace(&mut self.kv_missing, true);
         self.may_import = false;
         match stage {
-            Some(stage) if !again => {
+            Some(stage) if !is_repeated => {
                 self.kv_holders.shift_remove(&stage);
             }
             _ => self.kv_holders.clear(),
@@ -159,7 +159,8 @@
     }
 
     /// Returns the stage before an unreachable one if it has already reported another stage as
-    /// unreachable since the last token: its own connectivity is then the likelier cause.
+    /// unreachable since the last token: its own connectivity is then the likelier cause. Otherwise
+    /// records its report and returns nothing.
     pub(super) fn repeated_reporter(&mut self, unreachable: &EndpointId) -> Vec<EndpointId> {
         let mut stages = self.stages.iter();
         let at = stages.position(|stage| stage.endpoint == *unreachable);
@@ -186,7 +187,7 @@
         if epoch != self.epoch || self.state != State::Open {
             return;
         }
-        if self.is_full() {
+        if self.is_complete() {
             // Only the end event was lost.
             self.finish(true, effects);
             return;
@@ -244,7 +245,7 @@
     }
 
     pub(super) fn request_stages(&mut self, now_ms: u64, effects: &mut Vec<ChainEffect>) {
-        if self.is_full() {
+        if self.is_complete() {
             self.finish(true, effects);
             return;
         }
@@ -276,7 +277,9 @@
     }
 
     fn is_past_deadline(&self, now_ms: u64) -> bool {
-        self.spec.deadline.is_some_and(|it| now_ms >= it.at_ms)
+        self.spec
+            .deadline
+            .is_some_and(|deadline| now_ms >= deadline.at_ms)
     }
 
     pub(super) fn wait_for_route(&mut self, reason: NoRoute, now_ms: u64) {
