--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -2,15 +2,15 @@
 
 use std::collections::VecDeque;
 
+use super::attempt::{Attempt, AttemptId, Completion, Work};
+use super::book::Answer;
+use super::machine::{Call, Entry, Flow};
 use crate::chain::{Chain, ChainEffect, ChainMessage, ChainSpec, DropCause, ExpectedTiming};
 use crate::document::ModelOffer;
 use crate::ids::{EndpointId, ServiceName};
 use crate::instance::EntryEffect;
 use crate::routing::{NoRoute, Policy, RouteRequest};
 use crate::wire::engine::Stage;
-use super::attempt::{Attempt, AttemptId, Completion, Work};
-use super::book::Answer;
-use super::machine::{Call, Entry, Flow};
 
 impl<P> Entry<P>
 where
