--- a/bench/src/engine/host.rs
+++ b/bench/src/engine/host.rs
@@ -110,7 +110,7 @@
         living.over = over.clone();
         living.core = Some(Core::new(
             &self.node,
-            Incarnation::draw(&mut rand::rng()),
+            Incarnation::generate(&mut rand::rng()),
             self.fleet.peers_of(&self.node),
             self.fleet.model_layers(),
             self.fleet.ledger.clone(),
--- a/bench/src/engine/tests/executor.rs
+++ b/bench/src/engine/tests/executor.rs
@@ -4,7 +4,7 @@
 
 fn work(priority: u8, arrival_us: u64) -> Work {
     Work {
-        stream: StreamId::draw(&mut rand::rng()),
+        stream: StreamId::generate(&mut rand::rng()),
         epoch: 0,
         position: 0,
         priority,
--- a/bench/src/engine/tests/ledger.rs
+++ b/bench/src/engine/tests/ledger.rs
@@ -12,7 +12,7 @@
     fn new() -> Self {
         Self {
             ledger: RunLedger::default(),
-            stream: StreamId::draw(&mut rand::rng()),
+            stream: StreamId::generate(&mut rand::rng()),
         }
     }
 
--- a/bench/src/engine/tests/rig.rs
+++ b/bench/src/engine/tests/rig.rs
@@ -91,7 +91,7 @@
         let node = node.expect("an engine of the rig");
         let core = Core::new(
             node,
-            Incarnation::draw(&mut rand::rng()),
+            Incarnation::generate(&mut rand::rng()),
             self.fleet.peers_of(node),
             self.fleet.model_layers(),
             Arc::clone(&self.fleet.ledger),
@@ -195,7 +195,7 @@
     pub(super) fn open_stream(&self, max_tokens: u32) -> OpenStream {
         OpenStream {
             wire_version: WIRE_VERSION,
-            stream: StreamId::draw(&mut rand::rng()),
+            stream: StreamId::generate(&mut rand::rng()),
             epoch: 0,
             request: "r".into(),
             model: "m".into(),
--- a/bench/src/measure/overhead.rs
+++ b/bench/src/measure/overhead.rs
@@ -172,7 +172,7 @@
     };
     Ok(OpenStream {
         wire_version: WIRE_VERSION,
-        stream: StreamId::draw(&mut rand::rng()),
+        stream: StreamId::generate(&mut rand::rng()),
         epoch: 0,
         request: RequestId::from(request.id.clone()),
         model: target.model.clone(),
--- a/bench/tests/standins/engines.rs
+++ b/bench/tests/standins/engines.rs
@@ -25,7 +25,7 @@
     };
     OpenStream {
         wire_version: WIRE_VERSION,
-        stream: StreamId::draw(&mut rand::rng()),
+        stream: StreamId::generate(&mut rand::rng()),
         epoch: 0,
         request: "r".into(),
         model: nodes[0].model.clone(),
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -21,7 +21,7 @@
 
 /// A request that asks to be queued.
 #[derive(Clone, Copy, Debug)]
-pub struct QueueAsk<'a> {
+pub struct QueueRequest<'a> {
     /// The caller; not queued yet.
     pub caller: CallerId,
     /// The service asked.
@@ -73,18 +73,18 @@
     }
 
     /// Queues a request, or refuses it at once if it cannot be served in time.
-    pub fn offer(&mut self, ask: QueueAsk<'_>, now_ms: u64) -> Result<(), Refusal> {
+    pub fn enqueue(&mut self, ask: QueueRequest<'_>, now_ms: u64) -> Result<(), Refusal> {
         self.queue(ask.service).offer(&ask, now_ms)?;
         self.callers.insert(ask.caller, ask.service.clone());
         Ok(())
     }
 
     /// Takes the next request of a service out of its queue.
-    pub fn next(&mut self, service: &ServiceName, now_ms: u64) -> Option<CallerId> {
+    pub fn dequeue(&mut self, service: &ServiceName, now_ms: u64) -> Option<CallerId> {
         self.services.get_mut(service)?.next(now_ms)
     }
 
-    /// Puts a request back where [`Admission::next`] took it from: it found no endpoint free.
+    /// Puts a request back where [`Admission::dequeue`] took it from: it found no endpoint free.
     pub fn requeue_front(&mut self, caller: CallerId, _now_ms: u64) {
         if let Some(queue) = self.queue_of(caller) {
             queue.requeue_front(caller);
@@ -104,7 +104,7 @@
     }
 
     /// Forgets a caller that is gone, refused elsewhere or answered.
-    pub fn withdraw(&mut self, caller: CallerId, now_ms: u64) {
+    pub fn remove(&mut self, caller: CallerId, now_ms: u64) {
         if let Some(queue) = self.queue_of(caller) {
             queue.withdraw(caller, now_ms);
         }
@@ -139,7 +139,7 @@
 
     /// The part of the service that this entry may use while there is contention; `None` while
     /// there are no shares. Above 0, at most 1.
-    pub fn entry_part(&self, service: &ServiceName) -> Option<f64> {
+    pub fn entry_fraction(&self, service: &ServiceName) -> Option<f64> {
         self.services.get(service)?.entry_part()
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Services with waiting requests.
-    pub fn services(&self) -> Vec<ServiceName> {
+    pub fn backlogged_services(&self) -> Vec<ServiceName> {
         self.services
             .iter()
             .filter(|(_, queue)| queue.queued() > 0)
--- a/src/admission/service.rs
+++ b/src/admission/service.rs
@@ -2,7 +2,7 @@
 
 use indexmap::IndexMap;
 
-use super::QueueAsk;
+use super::QueueRequest;
 use super::account::{AccountQueue, Share, Waiting};
 use super::budget::RetryBudget;
 use super::overload::KEEP_LIMIT_MS;
@@ -95,7 +95,7 @@
         self.queued
     }
 
-    pub(crate) fn offer(&mut self, ask: &QueueAsk<'_>, now_ms: u64) -> Result<(), Refusal> {
+    pub(crate) fn offer(&mut self, ask: &QueueRequest<'_>, now_ms: u64) -> Result<(), Refusal> {
         self.watch(now_ms);
         let asked_tokens = f64::from(ask.cost_tokens.max(1));
         let level = self.level;
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -65,14 +65,14 @@
     ) -> Result<CallerId, Refusal> {
         self.drawn += 1;
         let caller = CallerId(self.drawn);
-        let ask = QueueAsk {
+        let ask = QueueRequest {
             caller,
             service: &self.service,
             account: &account.into(),
             cost_tokens,
             deadline: deadline_ms.map(|at_ms| Deadline { at_ms }),
         };
-        self.admission.offer(ask, self.now_ms)?;
+        self.admission.enqueue(ask, self.now_ms)?;
         self.account_of.insert(caller, account);
         Ok(caller)
     }
@@ -82,7 +82,7 @@
     }
 
     fn next(&mut self) -> Option<CallerId> {
-        self.admission.next(&self.service, self.now_ms)
+        self.admission.dequeue(&self.service, self.now_ms)
     }
 
     /// Serves one request to its end and returns its account.
@@ -91,7 +91,7 @@
         let account = self.account_of[&caller];
         self.admission
             .charge(&self.service, &account.into(), tokens, self.now_ms);
-        self.admission.withdraw(caller, self.now_ms);
+        self.admission.remove(caller, self.now_ms);
         account
     }
 
@@ -131,8 +131,8 @@
             self.admission
                 .charge(&self.service, &account.into(), 10, self.now_ms);
         }
-        self.admission.withdraw(waiting, self.now_ms);
-        self.admission.withdraw(running, self.now_ms);
+        self.admission.remove(waiting, self.now_ms);
+        self.admission.remove(running, self.now_ms);
     }
 }
 
@@ -252,7 +252,7 @@
         bench
             .admission
             .charge(&bench.service, &account.into(), 10, 0);
-        bench.admission.withdraw(caller, 0);
+        bench.admission.remove(caller, 0);
         bench.offer(account, prompt + 10);
         served[index] += 1;
     }
@@ -278,7 +278,7 @@
         bench
             .admission
             .charge(&bench.service, &account.into(), tokens, 0);
-        bench.admission.withdraw(caller, 0);
+        bench.admission.remove(caller, 0);
         bench.offer(account, 200);
         spent[index] += tokens;
     }
@@ -402,7 +402,7 @@
         bench
             .admission
             .charge(&bench.service, &account, costs[index], 0);
-        bench.admission.withdraw(caller, 0);
+        bench.admission.remove(caller, 0);
         bench.offer(names[index], costs[index]);
         spent[index] += costs[index];
     }
@@ -470,7 +470,7 @@
             let name = bench.account_of[&caller];
             let index = NAMES.iter().position(|&other| other == name).unwrap();
             bench.admission.charge(&bench.service, &name.into(), costs[index], 0);
-            bench.admission.withdraw(caller, 0);
+            bench.admission.remove(caller, 0);
             bench.offer(name, costs[index]);
             spent[index] += f64::from(costs[index]) / f64::from(weights[index]);
         }
@@ -502,7 +502,7 @@
                 },
                 4 => if let Some(caller) = running.pop().or_else(|| waiting.pop()) {
                     bench.admission.charge(&bench.service, &"a".into(), 30, bench.now_ms);
-                    bench.admission.withdraw(caller, bench.now_ms);
+                    bench.admission.remove(caller, bench.now_ms);
                 },
                 _ => for (caller, refusal) in bench.admission.expire(bench.now_ms) {
                     prop_assert_eq!(refusal.outcome, Outcome::NotRun);
--- a/src/chain/tests/harness.rs
+++ b/src/chain/tests/harness.rs
@@ -78,7 +78,7 @@
 
     pub(super) fn with_deadline(deadline: Option<Deadline>) -> Self {
         let spec = ChainSpec {
-            stream: StreamId::draw(&mut SmallRng::seed_from_u64(1)),
+            stream: StreamId::generate(&mut SmallRng::seed_from_u64(1)),
             request: "r".into(),
             model: "m".to_owned(),
             version: "v1".to_owned(),
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -95,7 +95,7 @@
 fn open_stream() -> OpenStream {
     OpenStream {
         wire_version: 1,
-        stream: StreamId::draw(&mut rand::rng()),
+        stream: StreamId::generate(&mut rand::rng()),
         epoch: 1,
         request: "r-1".into(),
         model: "m".to_owned(),
@@ -225,7 +225,7 @@
 
 #[actix_web::test]
 async fn an_unknown_stream_has_no_progress() {
-    let stream = StreamId::draw(&mut rand::rng());
+    let stream = StreamId::generate(&mut rand::rng());
     let engines = HttpEngines::new();
     let progress = engines.progress(serve(404, ""), stream, TIMEOUT_MS).await;
     assert_eq!(progress, Ok(None));
--- a/src/control/documents.rs
+++ b/src/control/documents.rs
@@ -36,7 +36,7 @@
                 true
             }
             Offer::Forked => {
-                invariant::violated("one_text_per_revision", &document.entry.service);
+                invariant::report_violation("one_text_per_revision", &document.entry.service);
                 false
             }
             Offer::NotNewer | Offer::Unreadable => false,
--- a/src/control/shares.rs
+++ b/src/control/shares.rs
@@ -4,7 +4,7 @@
 
 use super::Control;
 use crate::document::Document;
-use crate::fairness::{EntryDemand, EntryShare, entry_pieces, split_shares};
+use crate::fairness::{EntryDemand, EntryShare, assign_entry_pieces, divide_capacity};
 use crate::ids::{AccountId, InstanceId, ServiceName};
 use crate::wire::local::{AccountShare, EntryPart, EntryReport};
 use crate::wire::peer::{PeerDemand, ServiceDemand};
@@ -151,7 +151,7 @@
             services.entry(service).or_default().push(share.clone());
         }
         let parts = services.into_iter().filter_map(|(service, shares)| {
-            let pieces = *entry_pieces(&shares, &entries).get(&self.config.instance)?;
+            let pieces = *assign_entry_pieces(&shares, &entries).get(&self.config.instance)?;
             Some(EntryPart {
                 service: service.clone(),
                 first_piece: pieces.first,
@@ -206,7 +206,7 @@
             wanted_tokens_per_s: *wanted as f64,
         }));
     }
-    split_shares(median(&mut capacities) as f64, &weights, &demands)
+    divide_capacity(median(&mut capacities) as f64, &weights, &demands)
 }
 
 /// The middle of what the entries see; those that see nothing yet do not count.
--- a/src/control/tests/network.rs
+++ b/src/control/tests/network.rs
@@ -237,7 +237,7 @@
         let snapshot = node.snapshot.as_ref();
         let report = EntryReport {
             wire_version: WIRE_VERSION,
-            incarnation: Incarnation::draw(&mut StdRng::seed_from_u64(node.life)),
+            incarnation: Incarnation::generate(&mut StdRng::seed_from_u64(node.life)),
             known_snapshot: snapshot.map_or(0, |snapshot| snapshot.version),
             stopping: node.entry_stopping,
             in_flight: 0,
--- a/src/control/tests/sim.rs
+++ b/src/control/tests/sim.rs
@@ -93,7 +93,7 @@
     /// Starts a new process pair at an instance.
     pub(super) fn start(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        let incarnation = Incarnation::draw(&mut self.rng);
+        let incarnation = Incarnation::generate(&mut self.rng);
         let seed = self.rng.random();
         let node = &mut self.nodes[index];
         node.life += 1;
@@ -154,7 +154,7 @@
     pub(super) fn add_engine(&mut self, name: &str, first: u16, end: u16) -> SocketAddr {
         let address = SocketAddr::from(([10, 0, 1, 0], 1_000 + self.engines.len() as u16));
         let layers = LayerRange { first, end };
-        let incarnation = Incarnation::draw(&mut self.rng);
+        let incarnation = Incarnation::generate(&mut self.rng);
         let engine = FakeEngine::new(name, layers, incarnation);
         self.engines.insert(address, engine);
         let record = InstanceRecord {
--- a/src/control_server/handlers.rs
+++ b/src/control_server/handlers.rs
@@ -168,7 +168,7 @@
 
     async fn metrics(&self, key: String) -> Answer<String> {
         match self.ask(key, OperatorCall::Metrics).await? {
-            OperatorAnswer::Metrics => Ok(self.counters.page()),
+            OperatorAnswer::Metrics => Ok(self.counters.render_prometheus()),
             _ => Err(stopping()),
         }
     }
--- a/src/control_server/run.rs
+++ b/src/control_server/run.rs
@@ -127,7 +127,7 @@
         zone: settings.instance.zone.clone(),
         address: settings.entry.advertise,
         control_address: settings.control.advertise,
-        incarnation: Incarnation::draw(&mut rng),
+        incarnation: Incarnation::generate(&mut rng),
         unix_offset_ms: unix_ms(),
         seed: rng.random(),
         peers_key: settings.peers.key.clone(),
--- a/src/control_server/tests.rs
+++ b/src/control_server/tests.rs
@@ -53,7 +53,7 @@
 fn report() -> EntryReport {
     EntryReport {
         wire_version: WIRE_VERSION,
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(1)),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(1)),
         known_snapshot: 0,
         stopping: false,
         in_flight: 0,
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -4,7 +4,7 @@
 use super::book::{Answer, Known, OtherDigest};
 use super::machine::Entry;
 use super::views::not_ready;
-use crate::admission::QueueAsk;
+use crate::admission::QueueRequest;
 use crate::instance::{CallerId, CallerRequest, EntryEffect};
 use crate::outcome::{Refusal, RefusalCode};
 use crate::routing::Policy;
@@ -121,14 +121,14 @@
             let refusal = Refusal::not_run(RefusalCode::Overloaded, Some(CROWDED_RETRY_MS));
             return Err(refusal);
         }
-        let ask = QueueAsk {
+        let ask = QueueRequest {
             caller: attempt.id.0,
             service: &attempt.service,
             account: attempt.account(),
             cost_tokens: cost_tokens(&attempt.work),
             deadline: attempt.deadline,
         };
-        if let Err(refusal) = self.admission.offer(ask, now_ms) {
+        if let Err(refusal) = self.admission.enqueue(ask, now_ms) {
             self.note_refused(&attempt, refusal, now_ms);
             return Err(refusal);
         }
--- a/src/entry/claimed.rs
+++ b/src/entry/claimed.rs
@@ -195,7 +195,7 @@
             return Vec::new();
         };
         if open.dispatched {
-            crate::invariant::violated("claim.dispatched_once", attempt.id.0.0);
+            crate::invariant::report_violation("claim.dispatched_once", attempt.id.0.0);
             return Vec::new();
         }
         if !self.take_replica(attempt, now_ms) {
--- a/src/entry/dispatch.rs
+++ b/src/entry/dispatch.rs
@@ -30,14 +30,14 @@
         if !std::mem::take(&mut self.dispatch_due) {
             return;
         }
-        for service in self.admission.services() {
+        for service in self.admission.backlogged_services() {
             while !self.full.contains(&service) && self.dispatch_one(&service, now_ms) {}
         }
     }
 
     /// Dispatches the next request of a service. False if none can be.
     fn dispatch_one(&mut self, service: &ServiceName, now_ms: u64) -> bool {
-        let Some(caller) = self.admission.next(service, now_ms) else {
+        let Some(caller) = self.admission.dequeue(service, now_ms) else {
             return false;
         };
         let id = AttemptId(caller);
@@ -126,7 +126,7 @@
         }
         self.full.swap_remove(&attempt.service);
         self.dispatch_due = true;
-        self.admission.withdraw(attempt.id.0, now_ms);
+        self.admission.remove(attempt.id.0, now_ms);
         for caller in &attempt.callers {
             self.callers.swap_remove(caller);
         }
--- a/src/entry/resolve.rs
+++ b/src/entry/resolve.rs
@@ -45,7 +45,7 @@
         let key = request.key.as_ref().map(PresentedKey::expose);
         let resolved = match request.body {
             RequestBody::Completion { .. } => {
-                let stream = StreamId::draw(&mut self.rng);
+                let stream = StreamId::generate(&mut self.rng);
                 self.resolve_completion(key, stream, request.body)
             }
             RequestBody::Application { .. } => {
--- a/src/entry/tests/fixture.rs
+++ b/src/entry/tests/fixture.rs
@@ -52,7 +52,7 @@
         instance: "entry-lac-1".into(),
         zone: "Lac".into(),
         advertise: address(7001),
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(seed)),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(seed)),
         seed,
         unix_at_start_ms: 1_800_000_000_000,
         limits: EntryLimits::default(),
@@ -142,7 +142,7 @@
 pub(super) fn engine_state(name: &str, first: u16, end: u16) -> EngineState {
     EngineState {
         endpoint: name.into(),
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(u64::from(first))),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(u64::from(first))),
         accelerator: "small".to_owned(),
         model: "menu-mind-24b".to_owned(),
         version: "v1".to_owned(),
--- a/src/entry/tests/world.rs
+++ b/src/entry/tests/world.rs
@@ -279,7 +279,7 @@
         for node in &self.nodes {
             assert!(node.entry.callers.is_empty(), "callers left over");
             assert!(node.entry.calls.is_empty(), "calls: {:?}", node.entry.calls);
-            assert!(node.entry.admission.services().is_empty());
+            assert!(node.entry.admission.backlogged_services().is_empty());
         }
         for entry in 0..self.nodes.len() {
             self.deliver(self.nodes[entry].lifetime, EntryMessage::Stop);
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -7,5 +7,5 @@
 mod tests;
 
 pub use max_min::{ShareClaim, max_min};
-pub use parts::{EntryPieces, PIECES, entry_pieces};
-pub use split::{EntryDemand, EntryShare, split_shares};
+pub use parts::{EntryPieces, PIECE_COUNT, assign_entry_pieces};
+pub use split::{EntryDemand, EntryShare, divide_capacity};
--- a/src/fairness/parts.rs
+++ b/src/fairness/parts.rs
@@ -6,12 +6,12 @@
 use crate::ids::InstanceId;
 
 /// Number of equal pieces that a service's slots are thought to be cut into.
-pub const PIECES: u32 = 1_024;
+pub const PIECE_COUNT: u32 = 1_024;
 /// An entry has at least this part of what it would have if all had the same: its demand may rise
 /// before the next shares.
 const LEAST_OF_EQUAL: f64 = 0.25;
 
-/// The pieces of one entry: from `first` up to `end`, of [`PIECES`].
+/// The pieces of one entry: from `first` up to `end`, of [`PIECE_COUNT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryPieces {
     /// First piece.
@@ -24,7 +24,7 @@
 ///
 /// Every piece is dealt to one entry. The result depends on neither order, so that each node that
 /// knows the same shares deals alike.
-pub fn entry_pieces(
+pub fn assign_entry_pieces(
     shares: &[EntryShare],
     entries: &[InstanceId],
 ) -> IndexMap<InstanceId, EntryPieces> {
@@ -63,7 +63,7 @@
         .iter()
         .map(|(entry, wanted)| {
             before += wanted;
-            let end = (before / total * f64::from(PIECES)).round() as u32;
+            let end = (before / total * f64::from(PIECE_COUNT)).round() as u32;
             let pieces = EntryPieces { first, end };
             first = end;
             (entry.clone(), pieces)
--- a/src/fairness/split.rs
+++ b/src/fairness/split.rs
@@ -40,7 +40,7 @@
 ///
 /// The result is in order of entry and account and depends on the demands only, not on their order:
 /// each node that knows the same demands finds the same shares. Accounts without a weight get none.
-pub fn split_shares(
+pub fn divide_capacity(
     capacity_tokens_per_s: f64,
     weights: &IndexMap<AccountId, f64>,
     demands: &[EntryDemand],
--- a/src/fairness/tests/properties.rs
+++ b/src/fairness/tests/properties.rs
@@ -92,9 +92,9 @@
                 wanted_tokens_per_s,
             })
             .collect();
-        let shares = split_shares(capacity, &weights, &demands);
+        let shares = divide_capacity(capacity, &weights, &demands);
         demands.reverse();
-        prop_assert_eq!(&shares, &split_shares(capacity, &weights, &demands));
+        prop_assert_eq!(&shares, &divide_capacity(capacity, &weights, &demands));
         let given: f64 = shares.iter().map(|share| share.tokens_per_s).sum();
         let due = if shares.is_empty() { 0.0 } else { capacity };
         prop_assert!((given - due).abs() < SLACK * (1.0 + capacity));
@@ -114,14 +114,14 @@
             })
             .collect();
         let mut entries: Vec<InstanceId> = (0..wanted.len()).map(entry).collect();
-        let pieces = entry_pieces(&shares, &entries);
+        let pieces = assign_entry_pieces(&shares, &entries);
         let mut next = 0;
         for at in 0..wanted.len() {
             let dealt = pieces[&entry(at)];
             prop_assert_eq!(dealt.first, next);
             next = dealt.end;
         }
-        prop_assert_eq!(next, PIECES);
+        prop_assert_eq!(next, PIECE_COUNT);
         let equal = wanted.iter().sum::<f64>() / wanted.len() as f64;
         for (one, other) in (1..wanted.len()).map(|at| (at - 1, at)) {
             if wanted[one] >= equal && wanted[other] >= equal {
@@ -132,6 +132,6 @@
         }
         shares.reverse();
         entries.reverse();
-        prop_assert_eq!(pieces, entry_pieces(&shares, &entries));
+        prop_assert_eq!(pieces, assign_entry_pieces(&shares, &entries));
     }
 }
--- a/src/fairness/tests/simulation.rs
+++ b/src/fairness/tests/simulation.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 
 use super::super::*;
-use crate::admission::{Admission, QueueAsk};
+use crate::admission::{Admission, QueueRequest};
 use crate::document::{Account, Document, Priority, ServiceKind};
 use crate::ids::{AccountId, InstanceId, ServiceName};
 use crate::instance::CallerId;
@@ -137,7 +137,7 @@
             }
             node.drawn += 1;
             let caller = CallerId(node.drawn);
-            let ask = QueueAsk {
+            let ask = QueueRequest {
                 caller,
                 service: &self.service,
                 account: &self.loads[load].account,
@@ -145,7 +145,7 @@
                 deadline: None,
             };
             self.offered += 1;
-            match node.admission.offer(ask, now_ms) {
+            match node.admission.enqueue(ask, now_ms) {
                 Ok(()) => {
                     let length = self.rng.random_range(20.0..180.0);
                     node.lengths.insert(caller, (load, length));
@@ -166,12 +166,12 @@
             node.idle.push((now_ms + after_ms, load));
         }
         let part = match self.way {
-            Way::Global => node.admission.entry_part(&self.service),
+            Way::Global => node.admission.entry_fraction(&self.service),
             Way::LocalOnly => None,
         };
         let slots = part.unwrap_or(1.0 / ENTRIES as f64) * SLOTS as f64;
         while node.running.len() < slots.round() as usize {
-            let Some(caller) = node.admission.next(&self.service, now_ms) else {
+            let Some(caller) = node.admission.dequeue(&self.service, now_ms) else {
                 break;
             };
             let (load, left_tokens) = node.lengths.swap_remove(&caller).unwrap();
@@ -202,7 +202,7 @@
             }
             let ended = |stream: &mut Stream| stream.spent_tokens >= stream.left_tokens;
             for stream in node.running.extract_if(.., ended) {
-                node.admission.withdraw(stream.caller, now_ms);
+                node.admission.remove(stream.caller, now_ms);
                 node.idle.push((now_ms + 100, stream.load));
             }
         }
@@ -224,7 +224,7 @@
                 });
             }
         }
-        let shares = split_shares(CAPACITY_TOKENS_PER_S, &weights, &demands);
+        let shares = divide_capacity(CAPACITY_TOKENS_PER_S, &weights, &demands);
         for (index, node) in self.nodes.iter_mut().enumerate() {
             let entry = InstanceId::from(format!("entry-{index}"));
             let own: Vec<AccountShare> = shares
--- a/src/fleet/lifetime_tests.rs
+++ b/src/fleet/lifetime_tests.rs
@@ -219,7 +219,7 @@
             }
             prop_assert!(fleet.iter().count() <= 1);
             for known in fleet.iter() {
-                let born_ms = known.id().born_unix_ms().expect("it says so");
+                let born_ms = known.id().started_unix_ms().expect("it says so");
                 prop_assert_eq!(born_ms, newest_listed_ms);
                 prop_assert!(!fleet.ended.contains_key(known.id()));
                 if !touched.contains(&born_ms) {
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -365,7 +365,7 @@
         let name = begun.name();
         let known = self.lifetimes.get(&name).map(|it| it.id.clone());
         if let Some(known) = &known
-            && known.born_unix_ms() > begun.born_unix_ms()
+            && known.started_unix_ms() > begun.started_unix_ms()
         {
             return false;
         }
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
-use crate::route_table::{EngineKind, EngineModel};
+use crate::route_table::{AcceleratorKind, EngineModel};
 use crate::wire::engine::LayerRange;
 
 pub(super) fn range(first: u16, end: u16) -> LayerRange {
@@ -38,7 +38,7 @@
 }
 
 fn model() -> EngineModel {
-    let small = EngineKind {
+    let small = AcceleratorKind {
         memory_mb: 14_400.0,
         step_factor: 15.0,
         read_factor: 15.0,
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -77,7 +77,7 @@
         .gauge("gateway.callers.open", gateway.callers.open() as u64);
     HttpResponse::Ok()
         .content_type("text/plain; version=0.0.4")
-        .body(gateway.counters.page())
+        .body(gateway.counters.render_prometheus())
 }
 
 /// `POST /internal/claims`, for other entries only.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -244,7 +244,7 @@
         instance: settings.instance.name.clone(),
         zone: settings.instance.zone.clone(),
         advertise: settings.entry.advertise,
-        incarnation: Incarnation::draw(&mut rng),
+        incarnation: Incarnation::generate(&mut rng),
         seed: rng.random(),
         unix_at_start_ms: clock.started_unix_ms(),
         limits: EntryLimits {
--- a/src/gateway/tests/fixture.rs
+++ b/src/gateway/tests/fixture.rs
@@ -195,7 +195,7 @@
 async fn engine_state() -> HttpResponse {
     HttpResponse::Ok().json(EngineState {
         endpoint: "engine-1".into(),
-        incarnation: Incarnation::draw(&mut rand::rng()),
+        incarnation: Incarnation::generate(&mut rand::rng()),
         accelerator: "small".to_owned(),
         model: "menu-mind-24b".to_owned(),
         version: "2026-11".to_owned(),
--- a/src/gateway/tests/paths.rs
+++ b/src/gateway/tests/paths.rs
@@ -218,7 +218,7 @@
 }
 
 async fn working_at(address: SocketAddr) -> Option<bool> {
-    let incarnation = Incarnation::draw(&mut rand::rng());
+    let incarnation = Incarnation::generate(&mut rand::rng());
     let question = claim_question("entry-lac-1".into(), incarnation, "claims/x".to_owned());
     let answer = ask_holder(Rc::new(outside()), CallId(1), address, question, 300);
     match answer.await.0 {
--- a/src/gateway/tests/slow.rs
+++ b/src/gateway/tests/slow.rs
@@ -110,7 +110,7 @@
 async fn a_cancellation_lost_to_silence_is_sent_again() {
     let engine = TcpListener::bind(nowhere()).await.unwrap();
     let address = engine.local_addr().unwrap();
-    let stream = StreamId::draw(&mut rand::rng());
+    let stream = StreamId::generate(&mut rand::rng());
     let cancel = cancel_stream(Rc::new(outside()), address, stream, 1);
     let tries = async {
         let (_silent, _) = engine.accept().await.unwrap();
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -101,7 +101,7 @@
     }
 
     /// When this lifetime of the process began, in Unix milliseconds, where that is known.
-    pub fn born_unix_ms(&self) -> Option<u64> {
+    pub fn started_unix_ms(&self) -> Option<u64> {
         let (_, born) = self.as_str().rsplit_once(LIFETIME_MARK)?;
         born.parse().ok()
     }
@@ -114,7 +114,7 @@
 
 impl Incarnation {
     /// Draws a new incarnation.
-    pub fn draw<R>(rng: &mut R) -> Self
+    pub fn generate<R>(rng: &mut R) -> Self
     where
         R: rand::Rng,
     {
@@ -135,7 +135,7 @@
 
 impl StreamId {
     /// Draws a new stream id.
-    pub fn draw<R>(rng: &mut R) -> Self
+    pub fn generate<R>(rng: &mut R) -> Self
     where
         R: rand::Rng,
     {
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -17,7 +17,7 @@
     F: FnOnce() -> E,
 {
     if !holds {
-        violated(name, evidence());
+        report_violation(name, evidence());
     }
 }
 
@@ -26,7 +26,7 @@
 /// # Panics
 ///
 /// Panics where debug assertions are on.
-pub fn violated<E>(name: &'static str, evidence: E)
+pub fn report_violation<E>(name: &'static str, evidence: E)
 where
     E: Display,
 {
--- a/src/placement/sizing.rs
+++ b/src/placement/sizing.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 
 use crate::ids::EndpointId;
-use crate::route_table::{EngineKind, EngineModel};
+use crate::route_table::{AcceleratorKind, EngineModel};
 
 use super::PlacedEngine;
 
@@ -20,7 +20,7 @@
 const COPY_ROOM: f64 = 0.5;
 
 /// Most layers that fit beside room for `requests` usual requests.
-fn layers_beside(model: &EngineModel, kind: &EngineKind, requests: f64) -> u16 {
+fn layers_beside(model: &EngineModel, kind: &AcceleratorKind, requests: f64) -> u16 {
     let usual_tokens = (model.usual_prompt_tokens + model.usual_answer_tokens).max(1) as f64;
     let tokens = usual_tokens * requests;
     let layer_token_mb = model.token_kv_bytes / f64::from(model.layers.max(1)) / 1e6;
--- a/src/placement/tests.rs
+++ b/src/placement/tests.rs
@@ -3,11 +3,11 @@
 
 use super::*;
 use crate::ids::{EndpointId, ZoneName};
-use crate::route_table::{EngineKind, EngineModel};
+use crate::route_table::{AcceleratorKind, EngineModel};
 use crate::wire::engine::LayerRange;
 
 fn model() -> EngineModel {
-    let kind = |memory_mb, step_factor, read_factor| EngineKind {
+    let kind = |memory_mb, step_factor, read_factor| AcceleratorKind {
         memory_mb,
         step_factor,
         read_factor,
--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -5,7 +5,7 @@
 use super::{AttemptLimit, FinalError, GivenUp, RefusalCause};
 use crate::ids::EndpointId;
 use crate::invariant;
-use crate::route_table::Repeat;
+use crate::route_table::RepeatPolicy;
 
 /// Attempts that did not run, after which a request without any answer is refused: turned away by the
 /// endpoint, or not sent. Enough to get past a few endpoints that have just gone; each one that was sent
@@ -53,7 +53,7 @@
 /// be gone on with, neither a repeat that is turned away nor a spent budget ends it.
 #[derive(Clone, Debug)]
 pub struct Attempts {
-    repeat: Repeat,
+    repeat: RepeatPolicy,
     max_endpoints: usize,
     /// Endpoints that must not be used for this request.
     excluded: IndexSet<EndpointId>,
@@ -75,7 +75,7 @@
 
 impl Attempts {
     /// Nothing was sent yet. `max_endpoints` bounds the endpoints on which the request runs.
-    pub fn new(repeat: Repeat, max_endpoints: u32) -> Self {
+    pub fn new(repeat: RepeatPolicy, max_endpoints: u32) -> Self {
         Self {
             repeat,
             max_endpoints: max_endpoints.max(1) as usize,
@@ -104,7 +104,7 @@
 
     /// Whether another endpoint may be tried if the present one fails after it began.
     pub fn may_try_another(&self) -> bool {
-        self.repeat.may_run_again() && self.ran_on.len() + 1 < self.max_endpoints
+        self.repeat.allows_rerun() && self.ran_on.len() + 1 < self.max_endpoints
     }
 
     /// Whether the request may have run somewhere.
@@ -192,7 +192,7 @@
 
     /// Notes that the request is about to be sent.
     pub fn sending(&mut self, endpoint: &EndpointId) {
-        let may_send = !self.may_have_run() || self.repeat.may_run_again();
+        let may_send = !self.may_have_run() || self.repeat.allows_rerun();
         invariant::check(may_send, "runs_at_most_once", || endpoint.clone());
         self.under_way = Some(endpoint.clone());
         self.sends += 1;
@@ -248,7 +248,7 @@
     fn limit(&self) -> Option<AttemptLimit> {
         // A stream may go back to an engine on which it ran, with other stages behind it.
         let is_spent = self.only_on().is_some() && !self.repeat.is_stream();
-        if self.may_have_run() && !self.repeat.may_run_again() {
+        if self.may_have_run() && !self.repeat.allows_rerun() {
             Some(AttemptLimit::MayHaveRun)
         } else if self.has_begun {
             (self.runs >= MOST_RUNS).then_some(AttemptLimit::Sends)
--- a/src/relay/limits_tests.rs
+++ b/src/relay/limits_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 use crate::ids::EndpointId;
-use crate::route_table::Repeat;
+use crate::route_table::RepeatPolicy;
 
-const STREAM: Repeat = Repeat::Stream { resumable: true };
+const STREAM: RepeatPolicy = RepeatPolicy::Stream { resumable: true };
 
 /// What ends a request whose attempts end like this, each at another endpoint.
-fn given_up<I>(repeat: Repeat, max_endpoints: u32, ends: I, has_budget: bool) -> GivenUp
+fn given_up<I>(repeat: RepeatPolicy, max_endpoints: u32, ends: I, has_budget: bool) -> GivenUp
 where
     I: IntoIterator<Item = AttemptEnd>,
 {
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_may_run_once_only_ends_when_it_may_have_run() {
-    let end = given_up(Repeat::NonIdempotent, 4, [AttemptEnd::Lost], true);
+    let end = given_up(RepeatPolicy::NonIdempotent, 4, [AttemptEnd::Lost], true);
     assert_eq!(end.limit, AttemptLimit::MayHaveRun);
     assert_eq!(end.word, FinalError::Unknown);
 }
@@ -30,7 +30,7 @@
 #[test]
 fn an_idempotent_request_ends_when_it_ran_on_as_many_endpoints_as_it_may() {
     let lost = [AttemptEnd::Lost, AttemptEnd::Abandoned];
-    let end = given_up(Repeat::Idempotent, 2, lost, true);
+    let end = given_up(RepeatPolicy::Idempotent, 2, lost, true);
     assert_eq!(end.limit, AttemptLimit::Endpoints);
     assert_eq!(end.word, FinalError::Unknown);
 }
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_failure_that_is_passed_on_has_its_limit_too() {
-    let mut attempts = Attempts::new(Repeat::NonIdempotent, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::NonIdempotent, 2);
     attempts.sending(&EndpointId::from("a"));
     let next = attempts.ended(AttemptEnd::Failed, || true);
     assert_eq!(next, NextStep::PassOn(AttemptLimit::MayHaveRun));
--- a/src/relay/loan_tests/simulation.rs
+++ b/src/relay/loan_tests/simulation.rs
@@ -350,6 +350,6 @@
 fn lender(at: usize, process: u32) -> Lender {
     Lender {
         instance: InstanceId::from(at.to_string()),
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(process.into())),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(process.into())),
     }
 }
--- a/src/relay/resume.rs
+++ b/src/relay/resume.rs
@@ -15,7 +15,7 @@
         until_ms: u64,
     },
     /// The budget has no repeat left.
-    Repeat {
+    RepeatPolicy {
         /// When it will have one by the passing of time.
         due_ms: u64,
     },
@@ -27,7 +27,7 @@
         match self {
             Self::Chain => "chain",
             Self::Room { .. } => "room",
-            Self::Repeat { .. } => "repeat",
+            Self::RepeatPolicy { .. } => "repeat",
         }
     }
 
@@ -36,7 +36,7 @@
         let latest_ms = now_ms + LOOK_MS;
         match self {
             Self::Chain => latest_ms,
-            Self::Room { until_ms: due_ms } | Self::Repeat { due_ms } => {
+            Self::Room { until_ms: due_ms } | Self::RepeatPolicy { due_ms } => {
                 due_ms.clamp(now_ms + 1, latest_ms)
             }
         }
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::ids::{EndpointId, ServiceName};
-use crate::route_table::Repeat;
+use crate::route_table::RepeatPolicy;
 
 const SHARE: BudgetShare = BudgetShare {
     ratio: 0.2,
@@ -11,12 +11,12 @@
     instances: 2,
 };
 
-fn any_repeat() -> impl Strategy<Value = Repeat> {
+fn any_repeat() -> impl Strategy<Value = RepeatPolicy> {
     prop_oneof![
-        Just(Repeat::Idempotent),
-        Just(Repeat::NonIdempotent),
-        Just(Repeat::Stream { resumable: true }),
-        Just(Repeat::Stream { resumable: false }),
+        Just(RepeatPolicy::Idempotent),
+        Just(RepeatPolicy::NonIdempotent),
+        Just(RepeatPolicy::Stream { resumable: true }),
+        Just(RepeatPolicy::Stream { resumable: false }),
     ]
 }
 
@@ -43,7 +43,7 @@
             may_have_run |= !matches!(end, AttemptEnd::NotSent | AttemptEnd::TurnedAway);
             match attempts.ended(end, || has_budget) {
                 NextStep::TryAgain | NextStep::GoOn => {
-                    prop_assert!(!may_have_run || repeat.may_run_again());
+                    prop_assert!(!may_have_run || repeat.allows_rerun());
                 }
                 NextStep::PassOn(_) => {
                     prop_assert_eq!(end, AttemptEnd::Failed);
@@ -128,7 +128,7 @@
 // of them at once.
 #[test]
 fn an_answer_under_way_is_not_ended_by_a_repeat_that_is_turned_away() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.sending(&EndpointId::from("first"));
     attempts.answer_begins();
     let lost = attempts.ended(AttemptEnd::Lost, || true);
@@ -142,7 +142,7 @@
 
 #[test]
 fn an_answer_under_way_is_not_ended_by_a_spent_budget() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.sending(&EndpointId::from("first"));
     attempts.answer_begins();
     let next = attempts.ended(AttemptEnd::Lost, || false);
@@ -151,7 +151,7 @@
 
 #[test]
 fn an_answer_under_way_that_cannot_be_gone_on_with_ends_with_its_run() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: false }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
     attempts.sending(&EndpointId::from("first"));
     attempts.answer_begins();
     let next = attempts.ended(AttemptEnd::Lost, || true);
@@ -164,7 +164,7 @@
 
 #[test]
 fn a_request_without_any_answer_is_refused_at_once_when_the_budget_is_spent() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.sending(&EndpointId::from("first"));
     let next = attempts.ended(AttemptEnd::TurnedAway, || false);
     let end = GivenUp {
@@ -176,7 +176,7 @@
 
 #[test]
 fn an_answer_under_way_leaves_the_repeat_to_the_send() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.sending(&EndpointId::from("first"));
     attempts.answer_begins();
     let next = attempts.ended(AttemptEnd::Lost, || unreachable!("no repeat is taken yet"));
@@ -186,10 +186,10 @@
 #[test]
 fn an_answer_under_way_may_go_back_to_an_endpoint_that_had_no_room() {
     let (first, full) = (EndpointId::from("first"), EndpointId::from("full"));
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.exclude_for(&full, AttemptEnd::TurnedAway);
     assert!(attempts.excluded().contains(&full), "nothing has begun yet");
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.answer_begins();
     attempts.exclude_for(&first, AttemptEnd::Lost);
     attempts.exclude_for(&full, AttemptEnd::TurnedAway);
@@ -198,7 +198,7 @@
 
 #[test]
 fn an_answer_under_way_ends_after_many_lost_runs() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.answer_begins();
     let mut runs = 0;
     let last = loop {
@@ -219,11 +219,11 @@
 #[test]
 fn an_answer_under_way_looks_again_when_what_it_lacks_is_due_and_soon_in_any_case() {
     assert_eq!(Lack::Room { until_ms: 1_030 }.look_ms(1_000), 1_030);
-    assert_eq!(Lack::Repeat { due_ms: 1_000 }.look_ms(1_000), 1_001);
+    assert_eq!(Lack::RepeatPolicy { due_ms: 1_000 }.look_ms(1_000), 1_001);
     for lack in [
         Lack::Chain,
         Lack::Room { until_ms: 1_300 },
-        Lack::Repeat { due_ms: 9_000 },
+        Lack::RepeatPolicy { due_ms: 9_000 },
     ] {
         assert_eq!(lack.look_ms(1_000), 1_050, "{lack:?}");
     }
@@ -321,7 +321,7 @@
 #[test]
 fn a_silent_run_is_not_given_up_where_no_other_may_follow() {
     let (first, second) = (EndpointId::from("first"), EndpointId::from("second"));
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.sending(&first);
     attempts.answer_begins();
     attempts.ended(AttemptEnd::Lost, || true);
@@ -330,7 +330,7 @@
     let lost = attempts.after_losing(&second).expect("it may run again");
     let only_on = lost.only_on().expect("it has run on two");
     assert!(only_on.iter().all(|it| lost.excluded().contains(it)));
-    let mut bound = Attempts::new(Repeat::Stream { resumable: false }, 2);
+    let mut bound = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
     bound.sending(&first);
     assert!(bound.after_losing(&first).is_none(), "it runs once");
 }
--- a/src/relay/unsent_tests.rs
+++ b/src/relay/unsent_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::ids::{EndpointId, ServiceName};
-use crate::route_table::Repeat;
+use crate::route_table::RepeatPolicy;
 
-const STREAM: Repeat = Repeat::Stream { resumable: true };
+const STREAM: RepeatPolicy = RepeatPolicy::Stream { resumable: true };
 
 /// Attempts of a stream whose first run was lost, with a repeat for the next one.
 fn after_a_lost_run() -> Attempts {
--- a/src/relay_server/adapter.rs
+++ b/src/relay_server/adapter.rs
@@ -10,7 +10,7 @@
 use crate::clients::TableService;
 use crate::fleet::{Chain, ListingRead, Pacing};
 use crate::ids::{AccountId, EndpointName, ZoneName};
-use crate::route_table::{RouteTable, SourcedTable};
+use crate::route_table::{RouteTable, TableWithSource};
 use crate::wire::engine::LayerRange;
 
 /// A page that the instance answers by itself.
@@ -118,7 +118,7 @@
         &self,
         since: Option<u64>,
         wait_ms: u64,
-    ) -> impl Future<Output = Result<FeedRead<Option<SourcedTable>>, FeedFailure>>;
+    ) -> impl Future<Output = Result<FeedRead<Option<TableWithSource>>, FeedFailure>>;
 
     /// The list of endpoints: whole, or what has changed since a position, waiting up to `wait_ms`
     /// for a change.
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -77,7 +77,7 @@
 
 /// Compares the lifetime that was asked for with the one that has answered.
 pub(super) fn answering_lifetime(asked: &EndpointId, report: &EngineReport) -> AnsweringLifetime {
-    let (Some(asked_ms), Some(born_ms)) = (asked.born_unix_ms(), report.started_unix_ms) else {
+    let (Some(asked_ms), Some(born_ms)) = (asked.started_unix_ms(), report.started_unix_ms) else {
         return AnsweringLifetime::Current;
     };
     match born_ms.cmp(&asked_ms) {
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -11,7 +11,7 @@
 use super::node::Node;
 use crate::clock::boot_ms;
 use crate::fleet::ListingRead;
-use crate::route_table::{SourcedTable, TableChange};
+use crate::route_table::{TableChange, TableWithSource};
 
 /// How long a watch waits in the store for a change. The table is at most this old when the store
 /// goes away, so that keys are still trusted for as long as possible: 3.2 s of the 4.9 s after which
@@ -86,23 +86,23 @@
 
 /// Takes the table that a call sent at `sent_ms` has read, or that there is no newer one. Returns
 /// whether it is in force now and was not before.
-pub(super) fn apply_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
+pub(super) fn apply_table<A>(node: &Node<A>, read: Option<TableWithSource>, sent_ms: u64) -> bool {
     let Some(sourced) = read else {
         node.table.borrow_mut().confirm(sent_ms);
         return false;
     };
     let version = sourced.table.version;
-    let change = node.table.borrow_mut().offer(sourced, sent_ms);
+    let change = node.table.borrow_mut().update(sourced, sent_ms);
     node.update_informed();
     match change {
-        TableChange::InForce => {
+        TableChange::Applied => {
             log::info!(table = version, read_sent_ms = sent_ms; "table of routes is in force");
             node.counters.count("relay.tables");
         }
         TableChange::Confirmed => {}
-        TableChange::Older => log::warn!(table = version; "older table of routes was dropped"),
+        TableChange::Stale => log::warn!(table = version; "older table of routes was dropped"),
     }
-    change == TableChange::InForce
+    change == TableChange::Applied
 }
 
 /// Keeps the list of endpoints up to date, for as long as the process runs.
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -80,7 +80,10 @@
 pub(crate) fn metrics<A>(node: &Node<A>) -> Response<BoxBody> {
     node.counters
         .gauge("relay.open_requests", node.open_requests.get());
-    Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
+    Response::with_body(
+        StatusCode::OK,
+        BoxBody::new(node.counters.render_prometheus()),
+    )
 }
 
 fn own_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
@@ -113,7 +116,7 @@
     let Some(table) = node.routes() else {
         return refuse(node, "", None, RefusalCause::NoTable);
     };
-    if headers::head_bytes(request.head()) > table.limits.max_head_bytes {
+    if headers::head_bytes(request.head()) > table.limits.max_header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
         return status_response(node, status);
     }
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -71,7 +71,7 @@
         let octets = [10, 1, (number / 200) as u8, (number % 200) as u8];
         let record = InstanceRecord {
             instance: InstanceId::from(format!("i{number:03}")),
-            incarnation: Incarnation::draw(rng),
+            incarnation: Incarnation::generate(rng),
             zone: ZoneName::from(format!("z{zone}")),
             front: (octets, 8_000).into(),
             peers: (octets, 9_000).into(),
@@ -99,7 +99,7 @@
 
     /// A new process begins, which has read the records of all.
     pub(super) fn start(&mut self, records: &[InstanceRecord], now_ms: u64, rng: &mut SmallRng) {
-        self.record.incarnation = Incarnation::draw(rng);
+        self.record.incarnation = Incarnation::generate(rng);
         self.book = PeerBook::new(&settings(&self.record), self.record.incarnation, now_ms);
         for record in records {
             self.book.add_record(record.clone(), now_ms);
--- a/src/relay_server/node.rs
+++ b/src/relay_server/node.rs
@@ -24,7 +24,7 @@
 use crate::relay::{
     AttemptLimit, BudgetShare, ProbeHistory, RetryBudget, RetryConditions, RetryPurpose, RunTimes,
 };
-use crate::route_table::{HeldTable, RouteTable};
+use crate::route_table::{CurrentTable, RouteTable};
 use crate::telemetry::Counters;
 
 /// Shared state of one instance.
@@ -33,7 +33,7 @@
     pub(crate) settings: RelaySettings,
     pub(crate) incarnation: Incarnation,
     pub(crate) counters: Counters,
-    pub(crate) table: RefCell<HeldTable>,
+    pub(crate) table: RefCell<CurrentTable>,
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) budget: RefCell<RetryBudget>,
     /// How long streams take.
@@ -84,7 +84,7 @@
 {
     /// The state of an instance that knows nothing yet.
     pub(crate) fn new(adapter: A, settings: RelaySettings) -> Self {
-        let incarnation = Incarnation::draw(&mut rand::rng());
+        let incarnation = Incarnation::generate(&mut rand::rng());
         Self {
             peers: RefCell::new(PeerBook::new(&settings, incarnation, boot_ms())),
             uplink: RefCell::new(Uplink::new(settings.link_mbps)),
--- a/src/relay_server/peer_book_tests.rs
+++ b/src/relay_server/peer_book_tests.rs
@@ -49,7 +49,7 @@
 pub(super) fn book(name: &str, zone: &str, port: u16) -> PeerBook {
     let (front, peers) = (address(port), address(port + 1));
     let settings = settings(name.into(), zone.into(), front, peers, 200);
-    PeerBook::new(&settings, Incarnation::draw(&mut rand::rng()), 0)
+    PeerBook::new(&settings, Incarnation::generate(&mut rand::rng()), 0)
 }
 
 pub(super) fn heartbeat(book: &mut PeerBook, availability: Availability, now_ms: u64) -> Heartbeat {
@@ -78,7 +78,7 @@
 fn record(name: &str, zone: &str, port: u16) -> InstanceRecord {
     InstanceRecord {
         instance: InstanceId::from(name),
-        incarnation: Incarnation::draw(&mut rand::rng()),
+        incarnation: Incarnation::generate(&mut rand::rng()),
         zone: ZoneName::from(zone),
         front: address(port),
         peers: address(port + 1),
@@ -301,7 +301,7 @@
     a.remove_expired(250);
     let holder = LeaseHolder {
         instance: InstanceId::from("b"),
-        incarnation: Incarnation::draw(&mut rand::rng()),
+        incarnation: Incarnation::generate(&mut rand::rng()),
         fence: 4,
         has_renewed: false,
     };
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -29,7 +29,7 @@
 use crate::clients::{HttpCall, HttpFailure, HttpPeer};
 use crate::clock::boot_ms;
 use crate::ids::InstanceId;
-use crate::route_table::SourcedTable;
+use crate::route_table::TableWithSource;
 
 /// Pause between two looks at whether a peer knows more.
 pub(super) const LOOK_MS: u64 = 250;
@@ -383,7 +383,7 @@
             "document is taken from peers"
         );
         let source = whole.content;
-        let sourced = SourcedTable { table, source };
+        let sourced = TableWithSource { table, source };
         if apply_table(node, Some(sourced), whole.newest_at_ms) {
             node.request_heartbeat();
         }
--- a/src/relay_server/stream/go_on.rs
+++ b/src/relay_server/stream/go_on.rs
@@ -35,7 +35,7 @@
                 waits_for = Some(lack.name());
                 self.log_wait(lack, now_ms);
             }
-            if matches!(lack, Lack::Repeat { .. }) && now_ms >= ask_due_ms {
+            if matches!(lack, Lack::RepeatPolicy { .. }) && now_ms >= ask_due_ms {
                 ask_due_ms = now_ms + ASK_AGAIN_MS;
                 self.ask_zone();
             }
@@ -59,7 +59,7 @@
             .node
             .next_retry_ms(service, RetryPurpose::Resume, now_ms);
         if due_ms > now_ms {
-            return Err(Lack::Repeat { due_ms });
+            return Err(Lack::RepeatPolicy { due_ms });
         }
         let chain = match self.plan(None) {
             Some(chain) => chain,
@@ -71,7 +71,7 @@
         }
         // Taken at the send and not before: what is taken early would leave the window early too.
         if !self.node.take_retry(service, RetryPurpose::Resume) {
-            return Err(Lack::Repeat { due_ms: now_ms });
+            return Err(Lack::RepeatPolicy { due_ms: now_ms });
         }
         self.attempts.takes_repeat();
         Ok(chain)
--- a/src/route_table/held.rs
+++ b/src/route_table/held.rs
@@ -6,7 +6,7 @@
 
 /// A version and the operator's document that it was made from.
 #[derive(Clone, Debug, PartialEq)]
-pub struct SourcedTable {
+pub struct TableWithSource {
     /// The version.
     pub table: RouteTable,
     /// The document as the operator wrote it, for peers that cannot read it themselves.
@@ -17,24 +17,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableChange {
     /// It is newer and in force now.
-    InForce,
+    Applied,
     /// The one in force is as new; its age may have fallen.
     Confirmed,
     /// It is older than the one in force and was dropped.
-    Older,
+    Stale,
 }
 
 /// The table in force at this process.
 #[derive(Debug, Default)]
-pub struct HeldTable {
+pub struct CurrentTable {
     table: Option<Rc<RouteTable>>,
     /// The document of that table; empty while there is none.
     source: String,
     /// When the table was surely the newest one. Never falls.
-    newest_at_ms: u64,
+    confirmed_at_ms: u64,
 }
 
-impl HeldTable {
+impl CurrentTable {
     /// The table in force, if any is known.
     pub fn table(&self) -> Option<&Rc<RouteTable>> {
         self.table.as_ref()
@@ -47,16 +47,16 @@
 
     /// Takes a version that was read by a call sent at `sent_ms`. A process never goes back to an
     /// older version.
-    pub fn offer(&mut self, offered: SourcedTable, sent_ms: u64) -> TableChange {
-        let SourcedTable { table, source } = offered;
+    pub fn update(&mut self, offered: TableWithSource, sent_ms: u64) -> TableChange {
+        let TableWithSource { table, source } = offered;
         let held = self.table.as_ref().map(|held| held.version);
         let change = match held {
-            Some(version) if table.version < version => return TableChange::Older,
+            Some(version) if table.version < version => return TableChange::Stale,
             Some(version) if table.version == version => TableChange::Confirmed,
             _ => {
                 self.table = Some(Rc::new(table));
                 self.source = source;
-                TableChange::InForce
+                TableChange::Applied
             }
         };
         self.confirm(sent_ms);
@@ -68,17 +68,17 @@
     /// known: the first one has the age of the call that read it.
     pub fn confirm(&mut self, sent_ms: u64) {
         if self.table.is_some() {
-            self.newest_at_ms = self.newest_at_ms.max(sent_ms);
+            self.confirmed_at_ms = self.confirmed_at_ms.max(sent_ms);
         }
     }
 
     /// When the table was last known to be the newest.
-    pub fn newest_at_ms(&self) -> u64 {
-        self.newest_at_ms
+    pub fn confirmed_at_ms(&self) -> u64 {
+        self.confirmed_at_ms
     }
 
     /// Time since the table was last known to be the newest.
     pub fn age_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.newest_at_ms)
+        now_ms.saturating_sub(self.confirmed_at_ms)
     }
 }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -1,6 +1,6 @@
 //! What operators decide about relayed requests: routes, services, client accounts and limits.
 //!
-//! A [`RouteTable`] is one accepted version, whole. [`HeldTable`] keeps the newest one and how
+//! A [`RouteTable`] is one accepted version, whole. [`CurrentTable`] keeps the newest one and how
 //! long ago it was known to be the newest.
 
 mod held;
@@ -8,8 +8,8 @@
 #[cfg(test)]
 mod tests;
 
-pub use held::{HeldTable, SourcedTable, TableChange};
+pub use held::{CurrentTable, TableChange, TableWithSource};
 pub use table::{
-    Account, EngineKind, EngineModel, Limits, Rejection, Repeat, Resolved, Route, RouteTable,
-    ServiceSpec, WeightedService,
+    AcceleratorKind, Account, EngineModel, Limits, Rejection, RepeatPolicy, Resolved, Route,
+    RouteTable, ServiceSpec, WeightedService,
 };
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -6,7 +6,7 @@
 
 /// What may be done twice with a request of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatPolicy {
     /// The request may run more than once.
     Idempotent,
     /// The request may run at most once.
@@ -18,9 +18,9 @@
     },
 }
 
-impl Repeat {
+impl RepeatPolicy {
     /// Whether a run that was perhaps begun may be followed by another.
-    pub fn may_run_again(self) -> bool {
+    pub fn allows_rerun(self) -> bool {
         match self {
             Self::Idempotent => true,
             Self::NonIdempotent => false,
@@ -51,7 +51,7 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// What may be repeated.
-    pub repeat: Repeat,
+    pub repeat: RepeatPolicy,
     /// Longest time a caller may be kept waiting for the final word.
     pub timeout_ms: u64,
     /// Time within which an answer is of full use.
@@ -98,7 +98,7 @@
 
 /// A kind of accelerator that engines run on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct EngineKind {
+pub struct AcceleratorKind {
     /// Memory for layers and for requests.
     pub memory_mb: f64,
     /// Factor on the time of a token step.
@@ -129,7 +129,7 @@
     /// Loads that run side by side at full speed; 0 for no limit.
     pub loads_at_once: u32,
     /// Kinds of accelerators by name.
-    pub kinds: IndexMap<String, EngineKind>,
+    pub kinds: IndexMap<String, AcceleratorKind>,
 }
 
 /// A service that routes lead to.
@@ -145,11 +145,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Longest request head.
-    pub max_head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Longest body.
     pub max_body_bytes: usize,
     /// Longest time for a request head to arrive.
-    pub head_timeout_ms: u64,
+    pub header_timeout_ms: u64,
     /// Longest time a connection may stay idle.
     pub idle_timeout_ms: u64,
 }
--- a/src/route_table/tests.rs
+++ b/src/route_table/tests.rs
@@ -7,7 +7,7 @@
     Route {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Idempotent,
+        repeat: RepeatPolicy::Idempotent,
         timeout_ms: 1_000,
         objective_ms: 100,
         pause_objective_ms: None,
@@ -31,9 +31,9 @@
         priority: Some(0),
     };
     let limits = Limits {
-        max_head_bytes: 16_384,
+        max_header_bytes: 16_384,
         max_body_bytes: 4_194_304,
-        head_timeout_ms: 3_000,
+        header_timeout_ms: 3_000,
         idle_timeout_ms: 15_000,
     };
     let accounts = IndexMap::from([("key-1".to_owned(), account)]);
@@ -80,8 +80,8 @@
     assert_eq!(drawn.count(), 10);
 }
 
-fn sourced(version: u64) -> SourcedTable {
-    SourcedTable {
+fn sourced(version: u64) -> TableWithSource {
+    TableWithSource {
         table: table(version, vec![]),
         source: format!("document {version}"),
     }
@@ -89,12 +89,12 @@
 
 #[test]
 fn a_held_table_never_goes_back() {
-    let mut held = HeldTable::default();
+    let mut held = CurrentTable::default();
     assert_eq!(held.source(), None);
-    assert_eq!(held.offer(sourced(5), 100), TableChange::InForce);
-    assert_eq!(held.offer(sourced(3), 200), TableChange::Older);
+    assert_eq!(held.update(sourced(5), 100), TableChange::Applied);
+    assert_eq!(held.update(sourced(3), 200), TableChange::Stale);
     assert_eq!(held.age_ms(250), 150);
-    assert_eq!(held.offer(sourced(5), 220), TableChange::Confirmed);
+    assert_eq!(held.update(sourced(5), 220), TableChange::Confirmed);
     assert_eq!(held.age_ms(250), 30);
     held.confirm(90);
     assert_eq!(held.age_ms(250), 30);
@@ -102,8 +102,8 @@
 
 #[test]
 fn the_first_table_is_no_newer_than_the_call_that_read_it() {
-    let mut held = HeldTable::default();
+    let mut held = CurrentTable::default();
     held.confirm(900);
-    assert_eq!(held.offer(sourced(5), 100), TableChange::InForce);
+    assert_eq!(held.update(sourced(5), 100), TableChange::Applied);
     assert_eq!(held.age_ms(1_000), 900);
 }
--- a/src/routing/limits.rs
+++ b/src/routing/limits.rs
@@ -4,7 +4,7 @@
 //! Each entry owns a part of the batch, dealt so that the parts add up ([`dealt_part`]); slots that
 //! stay free over several reports are lent, a part of them to each entry.
 
-use crate::fairness::PIECES;
+use crate::fairness::PIECE_COUNT;
 use crate::ids::ServiceName;
 use crate::wire::local::EntryPart;
 
@@ -118,11 +118,11 @@
 /// The piece that a slot lies in. Slots that follow one another lie far apart, so that each range of
 /// pieces has about its part of any few slots in a row.
 fn piece_of(slot: u64) -> u32 {
-    /// Near [`PIECES`] over the golden ratio, and odd: each piece has its turn. Of the steps near it
+    /// Near [`PIECE_COUNT`] over the golden ratio, and odd: each piece has its turn. Of the steps near it
     /// this one deals most evenly: at most 3.1 slots off a range's part of any 199 in a row, over
     /// all ranges and starts; the nearest one, 633, up to 4.6.
     const STEP: u64 = 635;
-    (slot * STEP % u64::from(PIECES)) as u32
+    (slot * STEP % u64::from(PIECE_COUNT)) as u32
 }
 
 /// This entry's own slots at each service.
--- a/src/routing/tests/fleet.rs
+++ b/src/routing/tests/fleet.rs
@@ -415,7 +415,7 @@
 
     /// Plans a new stream at an entry.
     pub(super) fn plan(&mut self, entry: usize, now_ms: u64) -> Result<Planned, NoRoute> {
-        let stream = StreamId::draw(&mut self.rng);
+        let stream = StreamId::generate(&mut self.rng);
         let prompt = self.rng.random_range(0..self.spec.prompts);
         let text = format!("p{prompt} ").repeat(self.spec.prompt_tokens as usize);
         let ask = RouteAsk {
@@ -476,7 +476,7 @@
                 };
                 let record = record(&id, kind, engines.len());
                 let engine = Engine {
-                    state: state(&id, kind, layers, Incarnation::draw(rng)),
+                    state: state(&id, kind, layers, Incarnation::generate(rng)),
                     record,
                     kind: kind.clone(),
                     free_at_us: 0.0,
--- a/src/routing/tests/limits.rs
+++ b/src/routing/tests/limits.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 
-use crate::fairness::PIECES;
+use crate::fairness::PIECE_COUNT;
 use crate::routing::calls::CallLimit;
 use crate::routing::limits::{OwnSlots, Report, SlotLimit, dealt_part};
 
@@ -21,15 +21,15 @@
     fn every_slot_is_in_one_range_of_pieces(
         before in 0..1_000_u64,
         slots in 0..200_u32,
-        cuts in proptest::collection::vec(0..=PIECES, 0..8),
+        cuts in proptest::collection::vec(0..=PIECE_COUNT, 0..8),
     ) {
         let mut cuts = cuts;
-        cuts.extend([0, PIECES]);
+        cuts.extend([0, PIECE_COUNT]);
         cuts.sort_unstable();
         let mut dealt = 0;
         for cut in cuts.windows(2) {
             let owned = OwnSlots::Pieces { first: cut[0], end: cut[1] }.count(before, slots);
-            let due = f64::from(slots) * f64::from(cut[1] - cut[0]) / f64::from(PIECES);
+            let due = f64::from(slots) * f64::from(cut[1] - cut[0]) / f64::from(PIECE_COUNT);
             prop_assert!((f64::from(owned) - due).abs() <= 4.0, "{owned} of {due}");
             dealt += owned;
         }
--- a/src/routing/tests/plans.rs
+++ b/src/routing/tests/plans.rs
@@ -120,7 +120,7 @@
             .observe_fault(&faulty, EndpointFault::Slow, now_ms * 20_000);
     }
     let mut rng = <rand::rngs::SmallRng as rand::SeedableRng>::seed_from_u64(1);
-    world.states[0].incarnation = Incarnation::draw(&mut rng);
+    world.states[0].incarnation = Incarnation::generate(&mut rng);
     world.tell(80_100);
     let chains = std::iter::from_fn(|| world.plan(80_100).ok()).take(100);
     assert!(
--- a/src/routing/tests/world.rs
+++ b/src/routing/tests/world.rs
@@ -46,7 +46,7 @@
                 &id,
                 &kind,
                 layers,
-                Incarnation::draw(&mut rng),
+                Incarnation::generate(&mut rng),
             ));
         }
         let model = fleet::model(LAYERS, 1_000);
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn stream(&mut self) -> StreamId {
-        StreamId::draw(&mut self.rng)
+        StreamId::generate(&mut self.rng)
     }
 
     pub(super) fn plan(&mut self, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
--- a/src/telemetry/counters.rs
+++ b/src/telemetry/counters.rs
@@ -52,7 +52,7 @@
     }
 
     /// Every counter, gauge, time and violated invariant, in the text form that scrapers read.
-    pub fn page(&self) -> String {
+    pub fn render_prometheus(&self) -> String {
         let mut page = self.series.page();
         for (name, times) in invariant::violations() {
             page.push_str(&format!(
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -31,7 +31,7 @@
     counters.time_ms("store.read", 40_000);
     counters.count("entry.requests.refused");
     counters.gauge("entry.in_flight", 2);
-    insta::assert_snapshot!(counters.page());
+    insta::assert_snapshot!(counters.render_prometheus());
 }
 
 /// A place that log lines are written to.
--- a/src/wire/local.rs
+++ b/src/wire/local.rs
@@ -184,7 +184,7 @@
 }
 
 /// The part of a service's slots that this entry uses while there is contention: the pieces from
-/// `first_piece` up to `end_piece`, of [`crate::fairness::PIECES`].
+/// `first_piece` up to `end_piece`, of [`crate::fairness::PIECE_COUNT`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryPart {
     /// Service.
--- a/tests/invariant.rs
+++ b/tests/invariant.rs
@@ -12,7 +12,7 @@
         assert!(caught.is_err());
     }
     assert_eq!(invariant::violations()["layers-in-order"], 2);
-    let page = Counters::new().page();
+    let page = Counters::new().render_prometheus();
     assert!(page.contains("fescue_invariant_violations{invariant=\"layers-in-order\"} 2"));
 }
 
