--- a/src/admission/account.rs
+++ b/src/admission/account.rs
@@ -11,36 +11,37 @@
 use crate::outcome::RefusalCode;
 use crate::wire::local::AccountShare;
 
-/// Time constant of what an account wants and spends.
+/// Time constant of the meters of requested and spent tokens.
 const DEMAND_WINDOW_MS: f64 = 2_000.0;
-/// Least time watched before a rate counts in full.
-const DEMAND_LEAST_MS: f64 = 250.0;
-/// A backlog counts as demand that wants to be served within this time.
+/// Minimum observation time assumed when a rate is computed.
+const MIN_DEMAND_OBSERVATION_MS: f64 = 250.0;
+/// The backlog counts as demand to be served within this time.
 const BACKLOG_HORIZON_S: f64 = 1.0;
-/// Part of its document's weight that an account keeps, whatever its share: its demand may have
-/// moved here since the share was worked out.
-const LEAST_WEIGHT_PART: f64 = 0.1;
-/// Time constant of how expected costs compare with what is spent.
+/// Fraction of its configured weight that an account keeps whatever its share: its demand may have
+/// moved to this entry since the share was computed.
+const MIN_WEIGHT_FRACTION: f64 = 0.1;
+/// Time constant of the ratio of spent to requested tokens.
 const COST_WINDOW_MS: f64 = 20_000.0;
-/// Tokens for which expected costs are believed.
+/// Tokens added to both sides of the cost ratio, so that it starts at 1 and little history has
+/// little effect.
 const COST_PRIOR_TOKENS: f64 = 500.0;
-/// Bounds of what an expected cost is multiplied with.
-const COST_PARTS: (f64, f64) = (0.02, 1.0);
+/// Bounds of the factor applied to the requested tokens to estimate the cost.
+const COST_RATIO_BOUNDS: (f64, f64) = (0.02, 1.0);
 
-/// An account's part of the service at this entry.
+/// An account's share of the service at this entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Share {
     pub(crate) tokens_per_s: f64,
-    /// What it could have if it asked for more; at least its share.
+    /// Rate available if the account requested more; at least its share.
     pub(crate) entitled_tokens_per_s: f64,
 }
 
 impl From<&AccountShare> for Share {
-    fn from(told: &AccountShare) -> Self {
-        let tokens_per_s = finite(told.tokens_per_s);
+    fn from(share: &AccountShare) -> Self {
+        let tokens_per_s = finite(share.tokens_per_s);
         Self {
             tokens_per_s,
-            entitled_tokens_per_s: finite(told.entitled_tokens_per_s).max(tokens_per_s),
+            entitled_tokens_per_s: finite(share.entitled_tokens_per_s).max(tokens_per_s),
         }
     }
 }
@@ -52,24 +53,24 @@
     }
 }
 
-/// A request that waits.
+/// A queued request; also kept while the request runs.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Waiting {
+pub(crate) struct QueuedRequest {
     pub(crate) caller: CallerId,
-    /// What it asked for; at least 1.
-    pub(crate) asked_tokens: f64,
-    /// What it is expected to cost, from what the account's requests cost before.
+    /// Requested tokens; at least 1.
+    pub(crate) requested_tokens: f64,
+    /// Estimated cost, based on the cost of the account's earlier requests.
     pub(crate) cost_tokens: f64,
-    /// When it is refused at the latest.
-    pub(crate) until_ms: u64,
-    /// Whether the caller named that time.
+    /// Time at which the request is refused if it still waits.
+    pub(crate) expires_ms: u64,
+    /// Whether that time was set by the caller.
     pub(crate) has_deadline: bool,
 }
 
-impl Waiting {
-    /// Why it is refused if it has to wait for `wait_ms` more.
-    pub(crate) fn reason_to_refuse(&self, wait_ms: f64, now_ms: u64) -> Option<RefusalCode> {
-        let left_ms = self.until_ms.saturating_sub(now_ms) as f64;
+impl QueuedRequest {
+    /// The refusal code if a further wait of `wait_ms` is too long, otherwise `None`.
+    pub(crate) fn refusal_code(&self, wait_ms: f64, now_ms: u64) -> Option<RefusalCode> {
+        let left_ms = self.expires_ms.saturating_sub(now_ms) as f64;
         if left_ms > 0.0 && wait_ms < left_ms {
             return None;
         }
@@ -80,34 +81,35 @@
     }
 }
 
-/// One account at one service.
+/// Queue and accounting state of one account at one service.
 #[derive(Debug)]
 pub(crate) struct AccountQueue {
-    /// Weight in the document; greater than 0.
+    /// Configured weight; greater than 0.
     pub(crate) weight: f64,
     pub(crate) priority: Priority,
-    pub(crate) waiting: VecDeque<Waiting>,
-    /// Sum of the waiting costs.
+    pub(crate) waiting: VecDeque<QueuedRequest>,
+    /// Sum of the estimated costs of the queued requests.
     pub(crate) backlog_tokens: f64,
-    /// What the account was charged, each charge divided by the weight it had then. Only compared
-    /// with that of other accounts of the service.
-    pub(crate) spent_level: f64,
-    /// Decides among accounts of the same level; drawn anew each time.
+    /// Virtual time of the account: the sum of its charges, each divided by the weight at that
+    /// time. Only meaningful relative to other accounts of the service.
+    pub(crate) virtual_time: f64,
+    /// Breaks ties between accounts with equal virtual time; redrawn on every dispatch.
     pub(crate) tie_break: f64,
-    /// When its refused requests have been told to come back, the last of them.
-    pub(crate) promised_ms: f64,
+    /// Latest retry time given to a refused request of this account.
+    pub(crate) last_retry_at_ms: f64,
     pub(crate) budget: RetryBudget,
-    /// This entry's part of the fair share.
+    /// This entry's portion of the fair share.
     share: Option<Share>,
     /// Weight at this entry; greater than 0.
     local_weight: f64,
-    /// Requests that run.
-    running: IndexMap<CallerId, Waiting>,
-    /// Part of the running costs charged ahead and not spent yet; at most their sum.
-    ahead_tokens: f64,
+    /// Running requests.
+    running: IndexMap<CallerId, QueuedRequest>,
+    /// Estimated cost of the running requests that is charged but not spent yet; at most the sum
+    /// of those estimates.
+    prepaid_tokens: f64,
     wanted: RateMeter,
     spent: RateMeter,
-    /// What the finished requests asked for, and what was spent, over a longer time.
+    /// Tokens requested by finished requests, and tokens spent, over a longer window.
     finished: RateMeter,
     cost: RateMeter,
 }
@@ -119,14 +121,14 @@
             priority,
             waiting: VecDeque::new(),
             backlog_tokens: 0.0,
-            spent_level: 0.0,
+            virtual_time: 0.0,
             tie_break: 0.0,
-            promised_ms: 0.0,
+            last_retry_at_ms: 0.0,
             budget: RetryBudget::new(),
             share: None,
             local_weight: weight,
             running: IndexMap::new(),
-            ahead_tokens: 0.0,
+            prepaid_tokens: 0.0,
             wanted: RateMeter::new(DEMAND_WINDOW_MS, now_ms),
             spent: RateMeter::new(DEMAND_WINDOW_MS, now_ms),
             finished: RateMeter::new(COST_WINDOW_MS, now_ms),
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Takes the weight of the document.
+    /// Sets the configured weight and priority.
     pub(crate) fn set_weight(&mut self, weight: f64, priority: Priority) {
         self.weight = weight;
         self.priority = priority;
@@ -148,16 +150,16 @@
         self.share = share;
     }
 
-    /// Sets the weight at this entry: what the account is entitled to, in units of the documents'
-    /// weights. How far the account is from `level` stays the same in tokens.
-    pub(crate) fn set_local_weight(&mut self, weight_per_token: f64, level: f64) {
-        let least = self.weight * LEAST_WEIGHT_PART;
+    /// Sets the weight at this entry from the account's entitlement, in units of configured
+    /// weights. The account's distance from the service's virtual time is preserved in tokens.
+    pub(crate) fn set_local_weight(&mut self, weight_per_token: f64, service_virtual_time: f64) {
+        let least = self.weight * MIN_WEIGHT_FRACTION;
         let weight = match self.share {
             Some(share) => (share.entitled_tokens_per_s * weight_per_token).max(least),
             None => self.weight,
         };
-        let ahead_tokens = (self.spent_level - level) * self.local_weight;
-        self.spent_level = level + ahead_tokens / weight;
+        let ahead_tokens = (self.virtual_time - service_virtual_time) * self.local_weight;
+        self.virtual_time = service_virtual_time + ahead_tokens / weight;
         self.local_weight = weight;
     }
 
@@ -165,37 +167,37 @@
         self.local_weight
     }
 
-    /// The spent level once the first request that waits has gone.
-    pub(crate) fn next_level(&self) -> f64 {
+    /// The virtual time after the first queued request has been charged.
+    pub(crate) fn finish_tag(&self) -> f64 {
         let cost_tokens = self.waiting.front().map_or(0.0, |first| first.cost_tokens);
-        self.spent_level + cost_tokens / self.local_weight
+        self.virtual_time + cost_tokens / self.local_weight
     }
 
-    /// Counts a request that asks, refused or not.
-    pub(crate) fn ask(&mut self, cost_tokens: f64, now_ms: u64) {
+    /// Counts an arriving request as demand, whether or not it is refused.
+    pub(crate) fn record_demand(&mut self, cost_tokens: f64, now_ms: u64) {
         self.wanted.advance(now_ms);
         self.wanted.add(cost_tokens);
     }
 
-    pub(crate) fn push_back(&mut self, waiting: Waiting) {
+    pub(crate) fn push_back(&mut self, waiting: QueuedRequest) {
         self.backlog_tokens += waiting.cost_tokens;
         self.waiting.push_back(waiting);
     }
 
-    /// Takes the first request and charges its expected cost.
+    /// Moves the first queued request to the running ones and charges its estimated cost.
     pub(crate) fn pop(&mut self) -> Option<CallerId> {
         let first = self.waiting.pop_front()?;
-        self.drop_backlog(first.cost_tokens);
+        self.subtract_backlog(first.cost_tokens);
         self.running.insert(first.caller, first);
-        self.ahead_tokens += first.cost_tokens;
+        self.prepaid_tokens += first.cost_tokens;
         self.spend(first.cost_tokens);
         Some(first.caller)
     }
 
-    /// Undoes a [`AccountQueue::pop`]: the request waits again, before all others. False if it
-    /// does not run.
-    pub(crate) fn unpop(&mut self, caller: CallerId) -> bool {
-        let Some(waiting) = self.stop(caller) else {
+    /// Reverts an [`AccountQueue::pop`]: returns the request to the front of the queue. Returns
+    /// false if it is not running.
+    pub(crate) fn requeue_front(&mut self, caller: CallerId) -> bool {
+        let Some(waiting) = self.remove_running(caller) else {
             return false;
         };
         self.backlog_tokens += waiting.cost_tokens;
@@ -203,7 +205,7 @@
         true
     }
 
-    /// Forgets a waiting request.
+    /// Removes a queued request. Returns false if it is not queued.
     pub(crate) fn remove(&mut self, caller: CallerId) -> bool {
         let Some(at) = self
             .waiting
@@ -213,77 +215,78 @@
             return false;
         };
         if let Some(waiting) = self.waiting.remove(at) {
-            self.drop_backlog(waiting.cost_tokens);
+            self.subtract_backlog(waiting.cost_tokens);
         }
         true
     }
 
-    /// Ends a running request.
+    /// Ends a running request and counts it towards the cost ratio.
     pub(crate) fn finish(&mut self, caller: CallerId, now_ms: u64) {
-        if let Some(waiting) = self.stop(caller) {
+        if let Some(waiting) = self.remove_running(caller) {
             self.finished.advance(now_ms);
-            self.finished.add(waiting.asked_tokens);
+            self.finished.add(waiting.requested_tokens);
         }
     }
 
-    /// Takes a request out of those that run, and gives back what was charged ahead and not spent.
-    fn stop(&mut self, caller: CallerId) -> Option<Waiting> {
+    /// Removes a running request and refunds the prepaid tokens that were not spent.
+    fn remove_running(&mut self, caller: CallerId) -> Option<QueuedRequest> {
         let waiting = self.running.swap_remove(&caller)?;
-        let still_ahead = self
+        let still_prepaid = self
             .running
             .values()
             .map(|running| running.cost_tokens)
             .sum();
-        let unspent = self.ahead_tokens - still_ahead;
+        let unspent = self.prepaid_tokens - still_prepaid;
         if unspent > 0.0 {
-            self.ahead_tokens = still_ahead;
+            self.prepaid_tokens = still_prepaid;
             self.spend(-unspent);
         }
         Some(waiting)
     }
 
-    /// Charges tokens spent; those that were charged ahead are not charged again.
+    /// Charges spent tokens; prepaid tokens are not charged again.
     pub(crate) fn charge(&mut self, tokens: f64, now_ms: u64) {
         for meter in [&mut self.spent, &mut self.cost] {
             meter.advance(now_ms);
             meter.add(tokens);
         }
-        let charged_ahead = tokens.min(self.ahead_tokens);
-        self.ahead_tokens -= charged_ahead;
-        self.spend(tokens - charged_ahead);
+        let prepaid = tokens.min(self.prepaid_tokens);
+        self.prepaid_tokens -= prepaid;
+        self.spend(tokens - prepaid);
     }
 
-    /// What a request that asks for so many tokens is expected to cost.
-    pub(crate) fn expected_cost(&mut self, asked_tokens: f64, now_ms: u64) -> f64 {
+    /// Estimated cost of a request for `requested_tokens`.
+    pub(crate) fn expected_cost(&mut self, requested_tokens: f64, now_ms: u64) -> f64 {
         self.cost.advance(now_ms);
         self.finished.advance(now_ms);
         let spent = self.cost.amount() + COST_PRIOR_TOKENS;
-        let part = spent / (self.finished.amount() + COST_PRIOR_TOKENS);
-        (asked_tokens * part.clamp(COST_PARTS.0, COST_PARTS.1)).max(1.0)
+        let ratio = spent / (self.finished.amount() + COST_PRIOR_TOKENS);
+        (requested_tokens * ratio.clamp(COST_RATIO_BOUNDS.0, COST_RATIO_BOUNDS.1)).max(1.0)
     }
 
-    /// Tokens a second asked for, the backlog included.
+    /// Requested tokens per second, including the backlog.
     pub(crate) fn wanted_per_s(&mut self, now_ms: u64) -> f64 {
         self.wanted.advance(now_ms);
-        self.wanted.per_s_at_least(DEMAND_LEAST_MS) + self.backlog_tokens / BACKLOG_HORIZON_S
+        self.wanted.per_s_with_min_window(MIN_DEMAND_OBSERVATION_MS)
+            + self.backlog_tokens / BACKLOG_HORIZON_S
     }
 
-    /// Tokens a second spent.
+    /// Spent tokens per second.
     pub(crate) fn spent_per_s(&mut self, now_ms: u64) -> f64 {
         self.spent.advance(now_ms);
-        self.spent.per_s_at_least(DEMAND_LEAST_MS)
+        self.spent.per_s_with_min_window(MIN_DEMAND_OBSERVATION_MS)
     }
 
-    /// Whether nothing waits or runs.
+    /// Whether no request is queued or running.
     pub(crate) fn is_idle(&self) -> bool {
         self.waiting.is_empty() && self.running.is_empty()
     }
 
     fn spend(&mut self, tokens: f64) {
-        self.spent_level += tokens / self.local_weight;
+        self.virtual_time += tokens / self.local_weight;
     }
 
-    fn drop_backlog(&mut self, cost_tokens: f64) {
+    fn subtract_backlog(&mut self, cost_tokens: f64) {
         self.backlog_tokens = (self.backlog_tokens - cost_tokens).max(0.0);
         if self.waiting.is_empty() {
             self.backlog_tokens = 0.0;
--- a/src/admission/budget.rs
+++ b/src/admission/budget.rs
@@ -1,33 +1,35 @@
-//! Retry budgets: failures must not multiply load.
+//! Retry budgets, which keep failures from multiplying load.
 
-/// Part of a retry that each admitted request earns.
-const EARNED_PER_REQUEST: f64 = 0.1;
-/// Most retries saved up; also what a new budget begins with.
-const SAVED_LIMIT: f64 = 10.0;
+/// Fraction of a retry earned by each admitted request.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Maximum number of saved retries; also the initial budget.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
-/// Retries that may still be made. Never below 0, never above [`SAVED_LIMIT`].
+/// Retries that may still be made. Never below 0, never above [`MAX_SAVED_RETRIES`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetryBudget {
     saved: f64,
 }
 
 impl RetryBudget {
-    /// A budget that allows a few retries from the start.
+    /// Creates a full budget, so that retries are possible before any request was admitted.
     pub(crate) fn new() -> Self {
-        Self { saved: SAVED_LIMIT }
+        Self {
+            saved: MAX_SAVED_RETRIES,
+        }
     }
 
-    /// An admitted request earns its part.
+    /// Adds the fraction earned by an admitted request.
     pub(crate) fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_REQUEST).min(SAVED_LIMIT);
+        self.saved = (self.saved + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry is left.
+    /// Whether at least one retry is available.
     pub(crate) fn has_one(&self) -> bool {
         self.saved >= 1.0
     }
 
-    /// Takes a retry.
+    /// Deducts one retry.
     pub(crate) fn take(&mut self) {
         self.saved = (self.saved - 1.0).max(0.0);
     }
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,6 +1,7 @@
-//! Admission: who waits, who goes next, and who is refused at once.
+//! Admission control: queues requests, selects the next one to dispatch, and refuses requests that
+//! cannot be served in time.
 //!
-//! The design and what it rests on are in `docs/notes/FAIRNESS.md`.
+//! The design and its rationale are described in `docs/notes/FAIRNESS.md`.
 
 mod account;
 mod budget;
@@ -19,32 +20,32 @@
 use crate::wire::local::{AccountDemand, AccountShare};
 use service::ServiceQueue;
 
-/// A request that asks to be queued.
+/// A request to be queued.
 #[derive(Clone, Copy, Debug)]
 pub struct QueueRequest<'a> {
-    /// The caller; not queued yet.
+    /// The caller; must not be queued already.
     pub caller: CallerId,
-    /// The service asked.
+    /// The requested service.
     pub service: &'a ServiceName,
-    /// The account that asks.
+    /// The account that is charged.
     pub account: &'a AccountId,
-    /// What the request is expected to cost, prompt included.
+    /// Expected cost of the request, including the prompt.
     pub cost_tokens: u32,
-    /// When its answer is of no use any more.
+    /// Time after which the caller no longer needs an answer.
     pub deadline: Option<Deadline>,
 }
 
-/// The queues of one entry: for each service one, fair among its accounts.
+/// The queues of one entry: one per service, each fair among the service's accounts.
 #[derive(Debug)]
 pub struct Admission {
     seed: u64,
     services: IndexMap<ServiceName, ServiceQueue>,
-    /// The service of each caller that waits or runs.
+    /// The service of each caller with a waiting or running request.
     callers: IndexMap<CallerId, ServiceName>,
 }
 
 impl Admission {
-    /// An admission without services. `seed` spreads the times to come back.
+    /// Creates an instance without services. `seed` initialises the jitter of retry delays.
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
@@ -53,45 +54,46 @@
         }
     }
 
-    /// Takes weights and priorities from the documents in force.
+    /// Applies the weights and priorities of the active documents.
     pub fn set_accounts(&mut self, documents: &IndexMap<ServiceName, Document>) {
         for (service, document) in documents {
             self.queue(service).set_accounts(&document.accounts);
         }
     }
 
-    /// Takes this entry's part of the fair shares; replaces all earlier ones.
+    /// Replaces this entry's portions of the fair shares.
     pub fn set_shares(&mut self, shares: &[AccountShare], _now_ms: u64) {
         for (service, queue) in &mut self.services {
             queue.set_shares(shares.iter().filter(|share| share.service == *service));
         }
     }
 
-    /// Takes what the service's endpoints can generate, as long as no drain rate is measured.
+    /// Sets the generation capacity of the service's endpoints, used until a drain rate is known.
     pub fn set_capacity(&mut self, service: &ServiceName, tokens_per_s: f64) {
         self.queue(service).set_capacity(tokens_per_s);
     }
 
-    /// Queues a request, or refuses it at once if it cannot be served in time.
-    pub fn enqueue(&mut self, ask: QueueRequest<'_>, now_ms: u64) -> Result<(), Refusal> {
-        self.queue(ask.service).offer(&ask, now_ms)?;
-        self.callers.insert(ask.caller, ask.service.clone());
+    /// Queues a request, or refuses it immediately if it cannot be served in time.
+    pub fn enqueue(&mut self, request: QueueRequest<'_>, now_ms: u64) -> Result<(), Refusal> {
+        self.queue(request.service).enqueue(&request, now_ms)?;
+        self.callers.insert(request.caller, request.service.clone());
         Ok(())
     }
 
-    /// Takes the next request of a service out of its queue.
+    /// Removes the next request of a service from its queue and marks it running.
     pub fn dequeue(&mut self, service: &ServiceName, now_ms: u64) -> Option<CallerId> {
-        self.services.get_mut(service)?.next(now_ms)
+        self.services.get_mut(service)?.dequeue(now_ms)
     }
 
-    /// Puts a request back where [`Admission::dequeue`] took it from: it found no endpoint free.
+    /// Returns a request taken by [`Admission::dequeue`] to the front of its queue because no
+    /// endpoint was free.
     pub fn requeue_front(&mut self, caller: CallerId, _now_ms: u64) {
         if let Some(queue) = self.queue_of(caller) {
             queue.requeue_front(caller);
         }
     }
 
-    /// Removes the requests that are now known not to be served in time.
+    /// Removes and returns the queued requests that can no longer be served in time.
     pub fn expire(&mut self, now_ms: u64) -> Vec<(CallerId, Refusal)> {
         let mut refused = Vec::new();
         for queue in self.services.values_mut() {
@@ -103,22 +105,22 @@
         refused
     }
 
-    /// Forgets a caller that is gone, refused elsewhere or answered.
+    /// Removes a caller that disconnected, was refused elsewhere or was answered.
     pub fn remove(&mut self, caller: CallerId, now_ms: u64) {
         if let Some(queue) = self.queue_of(caller) {
-            queue.withdraw(caller, now_ms);
+            queue.remove(caller, now_ms);
         }
         self.callers.swap_remove(&caller);
     }
 
-    /// Charges an account with tokens that were generated for it.
+    /// Charges an account for generated tokens.
     pub fn charge(&mut self, service: &ServiceName, account: &AccountId, tokens: u32, now_ms: u64) {
         let queue = self.queue(service);
         queue.charge(account, tokens, now_ms);
         queue.count_generated(tokens);
     }
 
-    /// Charges an account with the tokens of a prompt.
+    /// Charges an account for prompt tokens.
     pub fn charge_prompt(
         &mut self,
         service: &ServiceName,
@@ -129,7 +131,7 @@
         self.queue(service).charge(account, tokens, now_ms);
     }
 
-    /// What the service's endpoints can do, in the unit of the charges, prompts included.
+    /// Capacity of the service's endpoints in charged tokens, which include prompts.
     pub fn capacity_tokens_per_s(&self, service: &ServiceName) -> f64 {
         let queue = self.services.get(service);
         queue
@@ -137,23 +139,23 @@
             .unwrap_or(0.0)
     }
 
-    /// The part of the service that this entry may use while there is contention; `None` while
-    /// there are no shares. Above 0, at most 1.
+    /// The fraction of the service that this entry may use under contention, in (0, 1]; `None`
+    /// while it has no shares.
     pub fn entry_fraction(&self, service: &ServiceName) -> Option<f64> {
-        self.services.get(service)?.entry_part()
+        self.services.get(service)?.entry_fraction()
     }
 
-    /// Whether a failed request may be sent once more; takes it from the retry budgets if so.
+    /// Whether a failed request may be retried; if so, deducts one retry from the retry budgets.
     pub fn allow_retry(&mut self, service: &ServiceName, account: &AccountId, now_ms: u64) -> bool {
         self.queue(service).allow_retry(account, now_ms)
     }
 
-    /// Whether one more retry is within the budgets; takes none.
+    /// Whether the budgets allow one more retry; deducts nothing.
     pub fn has_retry(&mut self, service: &ServiceName, account: &AccountId, now_ms: u64) -> bool {
         self.queue(service).has_retry(account, now_ms)
     }
 
-    /// What each account asks here, for the report to control.
+    /// Demand of each account at this entry, for the report to control.
     pub fn demands(&mut self, now_ms: u64) -> Vec<AccountDemand> {
         self.services
             .iter_mut()
@@ -161,7 +163,7 @@
             .collect()
     }
 
-    /// When a refused request should come back.
+    /// Delay after which a refused request should be retried.
     pub fn retry_after_ms(
         &mut self,
         service: &ServiceName,
@@ -171,7 +173,7 @@
         self.queue(service).retry_after_ms(account, 1.0, now_ms)
     }
 
-    /// Requests that wait for a service.
+    /// Number of requests queued for a service.
     pub fn queued(&self, service: &ServiceName) -> usize {
         self.services.get(service).map_or(0, ServiceQueue::queued)
     }
--- a/src/admission/rate.rs
+++ b/src/admission/rate.rs
@@ -1,37 +1,37 @@
-//! Rates measured over a fading window.
+//! Exponentially decaying rate measurement.
 
-/// Amount per second, with older amounts fading.
+/// Amount per second; older amounts decay exponentially.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateMeter {
     window_ms: f64,
-    /// Faded sum of what was added.
+    /// Decayed sum of the added amounts.
     amount: f64,
-    /// Faded sum of the time that was watched, in milliseconds.
-    watched_ms: f64,
+    /// Decayed observation time, in milliseconds.
+    observed_ms: f64,
     updated_ms: u64,
 }
 
 impl RateMeter {
-    /// A meter that forgets with a time constant of `window_ms`, watching from `now_ms`.
+    /// Creates a meter with time constant `window_ms` that observes from `now_ms`.
     pub(crate) fn new(window_ms: f64, now_ms: u64) -> Self {
         Self {
             window_ms,
             amount: 0.0,
-            watched_ms: 0.0,
+            observed_ms: 0.0,
             updated_ms: now_ms,
         }
     }
 
-    /// Lets time pass.
+    /// Advances to `now_ms` and decays both sums.
     pub(crate) fn advance(&mut self, now_ms: u64) {
         let passed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
         self.updated_ms = self.updated_ms.max(now_ms);
         let kept = (-passed_ms / self.window_ms).exp();
         self.amount *= kept;
-        self.watched_ms = self.watched_ms * kept + self.window_ms * (1.0 - kept);
+        self.observed_ms = self.observed_ms * kept + self.window_ms * (1.0 - kept);
     }
 
-    /// Lets time pass without watching: nothing fades.
+    /// Advances to `now_ms` without observing; nothing decays.
     pub(crate) fn skip(&mut self, now_ms: u64) {
         self.updated_ms = self.updated_ms.max(now_ms);
     }
@@ -41,18 +41,18 @@
         self.amount += amount;
     }
 
-    /// The faded sum of what was added.
+    /// The decayed sum of the added amounts.
     pub(crate) fn amount(&self) -> f64 {
         self.amount
     }
 
-    /// The rate a second, once at least `least_ms` have been watched.
-    pub(crate) fn per_s(&self, least_ms: f64) -> Option<f64> {
-        (self.watched_ms >= least_ms).then(|| self.amount * 1_000.0 / self.watched_ms)
+    /// The rate per second, or `None` before `min_observed_ms` have been observed.
+    pub(crate) fn per_s(&self, min_observed_ms: f64) -> Option<f64> {
+        (self.observed_ms >= min_observed_ms).then(|| self.amount * 1_000.0 / self.observed_ms)
     }
 
-    /// The rate a second, as if at least `least_ms` had been watched.
-    pub(crate) fn per_s_at_least(&self, least_ms: f64) -> f64 {
-        self.amount * 1_000.0 / self.watched_ms.max(least_ms)
+    /// The rate per second over an observation time of at least `min_observed_ms`.
+    pub(crate) fn per_s_with_min_window(&self, min_observed_ms: f64) -> f64 {
+        self.amount * 1_000.0 / self.observed_ms.max(min_observed_ms)
     }
 }
--- a/src/admission/service.rs
+++ b/src/admission/service.rs
@@ -1,11 +1,11 @@
-//! The queues of one service: start-time fair queueing among its accounts.
+//! The queues of one service, with start-time fair queueing among its accounts.
 
 use indexmap::IndexMap;
 
 use super::QueueRequest;
-use super::account::{AccountQueue, Share, Waiting};
+use super::account::{AccountQueue, QueuedRequest, Share};
 use super::budget::RetryBudget;
-use super::overload::KEEP_LIMIT_MS;
+use super::overload::MAX_QUEUE_TIME_MS;
 use super::rate::RateMeter;
 use crate::document::{Account, Priority};
 use crate::ids::{AccountId, ServiceName};
@@ -15,33 +15,34 @@
 
 /// Time constant of the measured drain rate.
 const DRAIN_WINDOW_MS: f64 = 5_000.0;
-/// The same for the present rate, which counts where it is higher: after an outage.
-const DRAIN_NOW_WINDOW_MS: f64 = 1_000.0;
-/// Time constant of how much of what is charged is generated.
+/// Time constant of the recent drain rate, used where it is higher, as after an outage.
+const RECENT_DRAIN_WINDOW_MS: f64 = 1_000.0;
+/// Time constant of the ratio of charged to generated tokens.
 const PROMPT_WINDOW_MS: f64 = 20_000.0;
-/// Generated tokens below which prompts are not counted into the capacity.
-const PROMPT_LEAST_TOKENS: f64 = 200.0;
+/// Generated tokens below which the capacity is not scaled to include prompts.
+const MIN_GENERATED_TOKENS: f64 = 200.0;
 
-/// One service.
+/// Queues and rate measurements of one service.
 #[derive(Debug)]
 pub(crate) struct ServiceQueue {
     pub(super) accounts: IndexMap<AccountId, AccountQueue>,
-    /// Requests that wait, of all accounts.
+    /// Number of queued requests of all accounts.
     pub(super) queued: usize,
-    /// Account of each caller that waits or runs.
+    /// Account of each caller with a queued or running request.
     pub(super) callers: IndexMap<CallerId, AccountId>,
-    /// The least spent level of the accounts that waited when a request last went; never falls.
-    pub(super) level: f64,
+    /// Lowest virtual time of the accounts with queued requests at the last dispatch; never
+    /// decreases.
+    pub(super) virtual_time: f64,
     pub(super) capacity_tokens_per_s: Option<f64>,
-    /// What is charged, prompts included, and the part of it that was generated.
+    /// Charged tokens, including prompts, and the generated tokens among them.
     charged: RateMeter,
     generated: RateMeter,
-    /// What is spent while something waits and something runs, over a long and a short time.
+    /// Tokens spent while requests are both queued and running, over a long and a short window.
     pub(super) drain: RateMeter,
-    pub(super) drain_now: RateMeter,
+    pub(super) recent_drain: RateMeter,
     pub(super) budget: RetryBudget,
-    /// State of the jitter.
-    pub(super) draws: u64,
+    /// State of the random number generator for jitter and tie-breaking.
+    pub(super) rng_state: u64,
 }
 
 impl ServiceQueue {
@@ -50,14 +51,14 @@
             accounts: IndexMap::new(),
             queued: 0,
             callers: IndexMap::new(),
-            level: 0.0,
+            virtual_time: 0.0,
             capacity_tokens_per_s: None,
             charged: RateMeter::new(PROMPT_WINDOW_MS, 0),
             generated: RateMeter::new(PROMPT_WINDOW_MS, 0),
             drain: RateMeter::new(DRAIN_WINDOW_MS, 0),
-            drain_now: RateMeter::new(DRAIN_NOW_WINDOW_MS, 0),
+            recent_drain: RateMeter::new(RECENT_DRAIN_WINDOW_MS, 0),
             budget: RetryBudget::new(),
-            draws: seed,
+            rng_state: seed,
         }
     }
 
@@ -71,7 +72,7 @@
         self.set_local_weights();
     }
 
-    /// Takes the shares of the accounts; those not named have none.
+    /// Replaces the shares of all accounts; accounts not listed have none.
     pub(crate) fn set_shares<'a, I>(&mut self, shares: I)
     where
         I: Iterator<Item = &'a AccountShare>,
@@ -95,41 +96,45 @@
         self.queued
     }
 
-    pub(crate) fn offer(&mut self, ask: &QueueRequest<'_>, now_ms: u64) -> Result<(), Refusal> {
-        self.watch(now_ms);
-        let asked_tokens = f64::from(ask.cost_tokens.max(1));
-        let level = self.level;
-        let queue = self.account(ask.account, now_ms);
-        let cost_tokens = queue.expected_cost(asked_tokens, now_ms);
-        queue.ask(cost_tokens, now_ms);
+    pub(crate) fn enqueue(
+        &mut self,
+        request: &QueueRequest<'_>,
+        now_ms: u64,
+    ) -> Result<(), Refusal> {
+        self.update_drain_meters(now_ms);
+        let requested_tokens = f64::from(request.cost_tokens.max(1));
+        let service_virtual_time = self.virtual_time;
+        let queue = self.account(request.account, now_ms);
+        let cost_tokens = queue.expected_cost(requested_tokens, now_ms);
+        queue.record_demand(cost_tokens, now_ms);
         if queue.waiting.is_empty() {
-            // What it did not use while nothing of it waited is gone.
-            queue.spent_level = queue.spent_level.max(level);
+            // An account earns no credit while it has nothing queued.
+            queue.virtual_time = queue.virtual_time.max(service_virtual_time);
         }
-        let waiting = Waiting {
-            caller: ask.caller,
-            asked_tokens,
+        let waiting = QueuedRequest {
+            caller: request.caller,
+            requested_tokens,
             cost_tokens,
-            until_ms: ask
+            expires_ms: request
                 .deadline
-                .map_or(now_ms + KEEP_LIMIT_MS, |deadline| deadline.at_ms),
-            has_deadline: ask.deadline.is_some(),
+                .map_or(now_ms + MAX_QUEUE_TIME_MS, |deadline| deadline.at_ms),
+            has_deadline: request.deadline.is_some(),
         };
-        if let Some(code) = self.reason_to_refuse(ask.account, &waiting, now_ms) {
-            let retry_after_ms = self.retry_after_ms(ask.account, cost_tokens, now_ms);
+        if let Some(code) = self.refusal_code(request.account, &waiting, now_ms) {
+            let retry_after_ms = self.retry_after_ms(request.account, cost_tokens, now_ms);
             return Err(Refusal::not_run(code, Some(retry_after_ms)));
         }
-        self.account(ask.account, now_ms).push_back(waiting);
+        self.account(request.account, now_ms).push_back(waiting);
         self.queued += 1;
-        self.callers.insert(ask.caller, ask.account.clone());
+        self.callers.insert(request.caller, request.account.clone());
         Ok(())
     }
 
-    pub(crate) fn next(&mut self, now_ms: u64) -> Option<CallerId> {
-        self.watch(now_ms);
-        let index = self.pick()?;
-        self.level = self.level.max(self.least_level());
-        let tie_break = self.draw();
+    pub(crate) fn dequeue(&mut self, now_ms: u64) -> Option<CallerId> {
+        self.update_drain_meters(now_ms);
+        let index = self.select_account()?;
+        self.virtual_time = self.virtual_time.max(self.min_virtual_time());
+        let tie_break = self.next_random();
         let (_, queue) = self.accounts.get_index_mut(index)?;
         queue.tie_break = tie_break;
         queue.budget.earn();
@@ -138,60 +143,61 @@
         queue.pop()
     }
 
-    /// Chooses the account that goes next, by the weighted mean level of those that wait. One that
-    /// is behind it by its next request or more is overdue, and goes first. Else the class decides
-    /// among those that are not ahead, then who has had the least. A class so only changes the
-    /// order within a request of each account.
-    fn pick(&self) -> Option<usize> {
-        let (mut levels, mut weights) = (0.0, 0.0);
+    /// Selects the account to dispatch from, relative to the weighted mean virtual time of the
+    /// accounts with queued requests. An account is overdue if it stays at or below the mean even
+    /// after its next request; the most overdue one goes first. Otherwise the priority class decides
+    /// among the accounts that are not ahead of the mean, then the lowest virtual time. Priority
+    /// therefore shifts an account by at most one request.
+    fn select_account(&self) -> Option<usize> {
+        let (mut virtual_times, mut weights) = (0.0, 0.0);
         for (_, queue) in self.waiting() {
-            levels += queue.spent_level * queue.local_weight();
+            virtual_times += queue.virtual_time * queue.local_weight();
             weights += queue.local_weight();
         }
-        let mean = levels / weights;
+        let mean = virtual_times / weights;
         let overdue = self
             .waiting()
-            .filter(|(_, queue)| queue.next_level() <= mean)
-            .min_by(|(_, a), (_, b)| a.next_level().total_cmp(&b.next_level()));
+            .filter(|(_, queue)| queue.finish_tag() <= mean)
+            .min_by(|(_, a), (_, b)| a.finish_tag().total_cmp(&b.finish_tag()));
         overdue
-            .or_else(|| self.first_entitled(mean))
+            .or_else(|| self.first_eligible(mean))
             .map(|(index, _)| index)
     }
 
-    fn first_entitled(&self, mean: f64) -> Option<(usize, &AccountQueue)> {
-        // The least is never above the mean but for rounding.
-        let entitled_level = mean.max(self.least_level());
+    fn first_eligible(&self, mean: f64) -> Option<(usize, &AccountQueue)> {
+        // Only rounding can put the minimum above the mean.
+        let max_virtual_time = mean.max(self.min_virtual_time());
         self.waiting()
-            .filter(|(_, queue)| queue.spent_level <= entitled_level)
+            .filter(|(_, queue)| queue.virtual_time <= max_virtual_time)
             .min_by(|(_, a), (_, b)| {
                 let by_class = a.priority.cmp(&b.priority);
                 by_class
-                    .then(a.spent_level.total_cmp(&b.spent_level))
+                    .then(a.virtual_time.total_cmp(&b.virtual_time))
                     .then(a.tie_break.total_cmp(&b.tie_break))
             })
     }
 
-    /// The accounts that wait, with their indices.
+    /// Accounts with queued requests, with their indices.
     fn waiting(&self) -> impl Iterator<Item = (usize, &AccountQueue)> {
         let accounts = self.accounts.values().enumerate();
         accounts.filter(|(_, queue)| !queue.waiting.is_empty())
     }
 
-    fn least_level(&self) -> f64 {
-        let levels = self.waiting().map(|(_, queue)| queue.spent_level);
-        levels.fold(f64::INFINITY, f64::min)
+    fn min_virtual_time(&self) -> f64 {
+        let virtual_times = self.waiting().map(|(_, queue)| queue.virtual_time);
+        virtual_times.fold(f64::INFINITY, f64::min)
     }
 
     pub(crate) fn requeue_front(&mut self, caller: CallerId) {
         if self
             .queue_of(caller)
-            .is_some_and(|queue| queue.unpop(caller))
+            .is_some_and(|queue| queue.requeue_front(caller))
         {
             self.queued += 1;
         }
     }
 
-    pub(crate) fn withdraw(&mut self, caller: CallerId, now_ms: u64) {
+    pub(crate) fn remove(&mut self, caller: CallerId, now_ms: u64) {
         if let Some(queue) = self.queue_of(caller) {
             if queue.remove(caller) {
                 self.queued -= 1;
@@ -208,36 +214,36 @@
     }
 
     pub(crate) fn charge(&mut self, account: &AccountId, tokens: u32, now_ms: u64) {
-        self.watch(now_ms);
+        self.update_drain_meters(now_ms);
         for meter in [&mut self.charged, &mut self.generated] {
             meter.advance(now_ms);
         }
         self.charged.add(f64::from(tokens));
         if self.is_draining() {
             self.drain.add(f64::from(tokens));
-            self.drain_now.add(f64::from(tokens));
+            self.recent_drain.add(f64::from(tokens));
         }
         self.account(account, now_ms)
             .charge(f64::from(tokens), now_ms);
     }
 
-    /// Counts tokens that were generated; [`ServiceQueue::charge`] charges them.
+    /// Counts generated tokens. They are charged separately, by [`ServiceQueue::charge`].
     pub(crate) fn count_generated(&mut self, tokens: u32) {
         self.generated.add(f64::from(tokens));
     }
 
-    /// The capacity in the unit of the charges: each generated token brings its prompt along.
+    /// Capacity in charged tokens: the generation rate scaled up by the measured prompt overhead.
     pub(crate) fn charged_capacity(&self) -> Option<f64> {
         let generated = self.generated.amount();
-        let per_generated = match generated >= PROMPT_LEAST_TOKENS {
+        let per_generated = match generated >= MIN_GENERATED_TOKENS {
             true => (self.charged.amount() / generated).max(1.0),
             false => 1.0,
         };
         Some(self.capacity_tokens_per_s? * per_generated)
     }
 
-    /// The part of the service that this entry's shares come to.
-    pub(crate) fn entry_part(&self) -> Option<f64> {
+    /// The sum of this entry's shares as a fraction of the service's capacity.
+    pub(crate) fn entry_fraction(&self) -> Option<f64> {
         let shares = self.accounts.values().filter_map(AccountQueue::share);
         let shared: f64 = shares.map(|share| share.tokens_per_s).sum();
         let part = shared / self.charged_capacity()?;
@@ -276,10 +282,10 @@
             .or_insert_with(|| AccountQueue::new(1.0, Priority::Standard, now_ms))
     }
 
-    /// Lets time pass; the drain rate is watched only while the service drains.
-    pub(super) fn watch(&mut self, now_ms: u64) {
+    /// Advances the drain meters; time counts as observed only while the service drains.
+    pub(super) fn update_drain_meters(&mut self, now_ms: u64) {
         let draining = self.is_draining();
-        for meter in [&mut self.drain, &mut self.drain_now] {
+        for meter in [&mut self.drain, &mut self.recent_drain] {
             match draining {
                 true => meter.advance(now_ms),
                 false => meter.skip(now_ms),
@@ -287,8 +293,8 @@
         }
     }
 
-    /// Whether something waits and something runs. While nothing runs, as in an outage, nothing is
-    /// learnt of how fast the service is.
+    /// Whether requests are both queued and running. While nothing runs, as in an outage, the drain
+    /// rate says nothing about the speed of the service.
     fn is_draining(&self) -> bool {
         self.queued > 0 && self.callers.len() > self.queued
     }
@@ -307,7 +313,7 @@
             0.0
         };
         for queue in self.accounts.values_mut() {
-            queue.set_local_weight(weight_per_token, self.level);
+            queue.set_local_weight(weight_per_token, self.virtual_time);
         }
     }
 }
--- a/src/admission/tests.rs
+++ b/src/admission/tests.rs
@@ -7,16 +7,16 @@
 
 const SERVICE: &str = "menu-mind";
 
-/// An admission for one service, with callers numbered as they come.
-struct Bench {
+/// An [`Admission`] for one service; callers are numbered in order of arrival.
+struct Harness {
     admission: Admission,
     service: ServiceName,
     account_of: IndexMap<CallerId, &'static str>,
-    drawn: u64,
+    last_id: u64,
     now_ms: u64,
 }
 
-impl Bench {
+impl Harness {
     fn new(accounts: &[(&'static str, f64, Priority)]) -> Self {
         let accounts = accounts.iter().map(|&(name, weight, priority)| {
             let key_digests = Vec::new();
@@ -44,7 +44,7 @@
             admission,
             service: SERVICE.into(),
             account_of: IndexMap::new(),
-            drawn: 0,
+            last_id: 0,
             now_ms: 0,
         }
     }
@@ -63,16 +63,16 @@
         cost_tokens: u32,
         deadline_ms: Option<u64>,
     ) -> Result<CallerId, Refusal> {
-        self.drawn += 1;
-        let caller = CallerId(self.drawn);
-        let ask = QueueRequest {
+        self.last_id += 1;
+        let caller = CallerId(self.last_id);
+        let request = QueueRequest {
             caller,
             service: &self.service,
             account: &account.into(),
             cost_tokens,
             deadline: deadline_ms.map(|at_ms| Deadline { at_ms }),
         };
-        self.admission.enqueue(ask, self.now_ms)?;
+        self.admission.enqueue(request, self.now_ms)?;
         self.account_of.insert(caller, account);
         Ok(caller)
     }
@@ -85,7 +85,7 @@
         self.admission.dequeue(&self.service, self.now_ms)
     }
 
-    /// Serves one request to its end and returns its account.
+    /// Serves one request to completion and returns its account.
     fn serve(&mut self, tokens: u32) -> &'static str {
         let caller = self.next().unwrap();
         let account = self.account_of[&caller];
@@ -95,7 +95,8 @@
         account
     }
 
-    /// Serves `rounds` requests of `tokens` each, every account always waiting, and counts them.
+    /// Serves `rounds` requests of `tokens` each while every account stays backlogged, and returns
+    /// the number served per account.
     fn contend(&mut self, names: &[&'static str], tokens: u32, rounds: usize) -> Vec<usize> {
         for &name in names {
             self.offer(name, tokens);
@@ -109,20 +110,20 @@
         served
     }
 
-    /// Tells the shares of the accounts, in the order of the document.
-    fn share(&mut self, shares: &[f64]) {
+    /// Sets the shares of the accounts, in the order of the document.
+    fn set_shares(&mut self, shares: &[f64]) {
         let accounts = ["grill-chain", "lac-bistro"].iter().zip(shares);
-        let told = accounts.map(|(&account, &tokens_per_s)| AccountShare {
+        let shares = accounts.map(|(&account, &tokens_per_s)| AccountShare {
             service: self.service.clone(),
             account: account.into(),
             tokens_per_s,
             entitled_tokens_per_s: tokens_per_s,
         });
-        let told: Vec<AccountShare> = told.collect();
-        self.admission.set_shares(&told, self.now_ms);
+        let shares: Vec<AccountShare> = shares.collect();
+        self.admission.set_shares(&shares, self.now_ms);
     }
 
-    /// Lets the service get 100 tokens a second done for `s` seconds, with `account` waiting.
+    /// Drains 100 tokens per second for `s` seconds while `account` is backlogged.
     fn drain_100_a_second(&mut self, account: &'static str, s: u64) {
         let (running, waiting) = (self.offer(account, 1), self.offer(account, 1));
         assert_eq!(self.next(), Some(running));
@@ -138,43 +139,43 @@
 
 #[test]
 fn a_flood_does_not_delay_another_account() {
-    let mut bench = Bench::equal(&["grill-chain", "lac-bistro"]);
+    let mut harness = Harness::equal(&["grill-chain", "lac-bistro"]);
     for _ in 0..400 {
-        bench.offer("grill-chain", 100);
+        harness.offer("grill-chain", 100);
     }
     for _ in 0..5 {
-        bench.serve(100);
+        harness.serve(100);
     }
-    bench.offer("lac-bistro", 100);
-    assert_eq!(bench.serve(100), "lac-bistro");
+    harness.offer("lac-bistro", 100);
+    assert_eq!(harness.serve(100), "lac-bistro");
 }
 
 #[test]
 fn waiting_accounts_share_by_weight() {
     let (standard, names) = (Priority::Standard, ["grill-chain", "lac-bistro"]);
-    let mut bench = Bench::new(&[(names[0], 6.0, standard), (names[1], 2.0, standard)]);
-    assert_eq!(bench.contend(&names, 50, 400), [300, 100]);
+    let mut harness = Harness::new(&[(names[0], 6.0, standard), (names[1], 2.0, standard)]);
+    assert_eq!(harness.contend(&names, 50, 400), [300, 100]);
 }
 
 #[test]
 fn a_class_goes_first_and_starves_none() {
     let names = ["lac-bistro", "grill-chain"];
-    let mut bench = Bench::new(&[
+    let mut harness = Harness::new(&[
         (names[0], 1.0, Priority::Batch),
         (names[1], 1.0, Priority::Interactive),
     ]);
-    bench.offer(names[0], 50);
-    bench.offer(names[1], 50);
-    assert_eq!(bench.serve(50), "grill-chain");
-    bench.serve(50);
-    assert_eq!(bench.contend(&names, 50, 400), [200, 200]);
+    harness.offer(names[0], 50);
+    harness.offer(names[1], 50);
+    assert_eq!(harness.serve(50), "grill-chain");
+    harness.serve(50);
+    assert_eq!(harness.contend(&names, 50, 400), [200, 200]);
 }
 
 #[test]
-fn a_class_behind_others_lags_by_a_moment_only() {
+fn a_low_priority_account_is_not_starved_by_many_others() {
     let (interactive, standard) = (Priority::Interactive, Priority::Standard);
     let names = ["large", "a", "b", "c", "d", "e", "batch"];
-    let mut bench = Bench::new(&[
+    let mut harness = Harness::new(&[
         (names[0], 6.0, interactive),
         (names[1], 1.0, interactive),
         (names[2], 1.0, interactive),
@@ -184,15 +185,15 @@
         (names[6], 1.0, Priority::Batch),
     ]);
     for name in names {
-        bench.offer(name, 40);
-        bench.offer(name, 40);
+        harness.offer(name, 40);
+        harness.offer(name, 40);
     }
     let mut served: IndexMap<&str, u32> = IndexMap::new();
-    // 21 requests, the sum of the weights, take 0.21 s.
+    // One round of 21 requests, the sum of the weights, takes 0.21 s.
     for _ in 0..21 * 10 {
-        bench.now_ms += 10;
-        let name = bench.serve(40);
-        bench.offer(name, 40);
+        harness.now_ms += 10;
+        let name = harness.serve(40);
+        harness.offer(name, 40);
         *served.entry(name).or_default() += 1;
     }
     assert!(served["batch"] >= 8, "{served:?}");
@@ -200,86 +201,86 @@
 }
 
 #[test]
-fn an_idle_account_comes_back_without_a_hoard() {
+fn an_idle_account_accumulates_no_credit() {
     let names = ["grill-chain", "lac-bistro"];
-    let mut bench = Bench::equal(&names);
-    bench.contend(&names[..1], 50, 1_000);
-    let served = bench.contend(&names, 50, 100);
+    let mut harness = Harness::equal(&names);
+    harness.contend(&names[..1], 50, 1_000);
+    let served = harness.contend(&names, 50, 100);
     assert!(served[1].abs_diff(50) <= 1, "{served:?}");
 }
 
 #[test]
-fn a_long_stream_earns_no_hoard_while_nothing_else_waits() {
+fn a_long_stream_accumulates_no_credit_while_nothing_else_waits() {
     let names = ["grill-chain", "lac-bistro"];
-    let mut bench = Bench::equal(&names);
-    bench.offer(names[1], 10);
-    bench.next().unwrap();
-    bench.contend(&names[..1], 50, 1_000);
-    let served = bench.contend(&names, 50, 100);
+    let mut harness = Harness::equal(&names);
+    harness.offer(names[1], 10);
+    harness.next().unwrap();
+    harness.contend(&names[..1], 50, 1_000);
+    let served = harness.contend(&names, 50, 100);
     assert!(served[1].abs_diff(50) <= 1, "{served:?}");
 }
 
 #[test]
 fn what_was_spent_at_a_small_share_does_not_weigh_more_at_a_large_one() {
     let names = ["grill-chain", "lac-bistro"];
-    let mut bench = Bench::equal(&names);
-    bench.share(&[1.0, 99.0]);
-    bench.offer(names[0], 1_000);
-    assert_eq!(bench.serve(1_000), names[0]);
-    bench.share(&[50.0, 50.0]);
-    // Ahead by 1,000 tokens, it waits for 20 requests of the other, not for 200.
-    let served = bench.contend(&names, 50, 100);
+    let mut harness = Harness::equal(&names);
+    harness.set_shares(&[1.0, 99.0]);
+    harness.offer(names[0], 1_000);
+    assert_eq!(harness.serve(1_000), names[0]);
+    harness.set_shares(&[50.0, 50.0]);
+    // Being 1,000 tokens ahead, it waits for 20 requests of the other account, not for 200.
+    let served = harness.contend(&names, 50, 100);
     assert!(served[0].abs_diff(40) <= 2, "{served:?}");
 }
 
 #[test]
 fn long_prompts_are_charged() {
     let names = ["grill-chain", "lac-bistro"];
-    let mut bench = Bench::equal(&names);
+    let mut harness = Harness::equal(&names);
     let mut served = [0_u32, 0];
     for _ in 0..2 {
-        bench.offer(names[0], 1_000);
-        bench.offer(names[1], 100);
+        harness.offer(names[0], 1_000);
+        harness.offer(names[1], 100);
     }
     for _ in 0..440 {
-        let caller = bench.next().unwrap();
-        let account = bench.account_of[&caller];
+        let caller = harness.next().unwrap();
+        let account = harness.account_of[&caller];
         let long = account == names[0];
         let (prompt, index) = if long { (990, 0) } else { (90, 1) };
-        bench
+        harness
             .admission
-            .charge_prompt(&bench.service, &account.into(), prompt, 0);
-        bench
+            .charge_prompt(&harness.service, &account.into(), prompt, 0);
+        harness
             .admission
-            .charge(&bench.service, &account.into(), 10, 0);
-        bench.admission.remove(caller, 0);
-        bench.offer(account, prompt + 10);
+            .charge(&harness.service, &account.into(), 10, 0);
+        harness.admission.remove(caller, 0);
+        harness.offer(account, prompt + 10);
         served[index] += 1;
     }
     assert!(served[0].abs_diff(40) <= 2, "{served:?}");
 }
 
 #[test]
-fn a_canceller_pays_only_for_what_was_spent() {
+fn cancelled_streams_are_charged_only_for_tokens_spent() {
     let names = ["grill-chain", "lac-bistro"];
-    let mut bench = Bench::equal(&names);
+    let mut harness = Harness::equal(&names);
     let (mut spent, mut streams) = ([0_u32, 0], 0_u32);
     for &name in &names {
-        bench.offer(name, 200);
+        harness.offer(name, 200);
     }
     for _ in 0..600 {
-        let caller = bench.next().unwrap();
-        let account = bench.account_of[&caller];
+        let caller = harness.next().unwrap();
+        let account = harness.account_of[&caller];
         let index = usize::from(account == names[1]);
         // The first account cancels half of its streams early.
         streams += 1 - index as u32;
         let cancelled = index == 0 && streams.is_multiple_of(2);
         let tokens = if cancelled { 20 } else { 200 };
-        bench
+        harness
             .admission
-            .charge(&bench.service, &account.into(), tokens, 0);
-        bench.admission.remove(caller, 0);
-        bench.offer(account, 200);
+            .charge(&harness.service, &account.into(), tokens, 0);
+        harness.admission.remove(caller, 0);
+        harness.offer(account, 200);
         spent[index] += tokens;
     }
     let ratio = f64::from(spent[0]) / f64::from(spent[1]);
@@ -288,22 +289,22 @@
 
 #[test]
 fn a_request_put_back_goes_first_again() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    let first = bench.offer("grill-chain", 10);
-    bench.offer("grill-chain", 10);
-    assert_eq!(bench.next(), Some(first));
-    bench.admission.requeue_front(first, 0);
-    assert_eq!(bench.admission.queued(&bench.service), 2);
-    assert_eq!(bench.next(), Some(first));
+    let mut harness = Harness::equal(&["grill-chain"]);
+    let first = harness.offer("grill-chain", 10);
+    harness.offer("grill-chain", 10);
+    assert_eq!(harness.next(), Some(first));
+    harness.admission.requeue_front(first, 0);
+    assert_eq!(harness.admission.queued(&harness.service), 2);
+    assert_eq!(harness.next(), Some(first));
 }
 
 #[test]
 fn a_deadline_that_cannot_be_met_is_refused_at_once() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    bench.drain_100_a_second("grill-chain", 10);
-    bench.offer("grill-chain", 400);
-    let deadline_ms = bench.now_ms + 2_000;
-    let refusal = bench
+    let mut harness = Harness::equal(&["grill-chain"]);
+    harness.drain_100_a_second("grill-chain", 10);
+    harness.offer("grill-chain", 400);
+    let deadline_ms = harness.now_ms + 2_000;
+    let refusal = harness
         .offer_until("grill-chain", 10, Some(deadline_ms))
         .unwrap_err();
     assert_eq!(refusal.code, RefusalCode::DeadlineTooShort);
@@ -313,27 +314,27 @@
             .retry_after_ms
             .is_some_and(|ms| (2_800..5_500).contains(&ms))
     );
-    bench
+    harness
         .offer_until("grill-chain", 10, Some(deadline_ms + 60_000))
         .unwrap();
 }
 
 #[test]
 fn a_waiting_request_is_refused_as_soon_as_it_is_known_to_be_late() {
-    let mut bench = Bench::equal(&["grill-chain", "lac-bistro"]);
-    bench.drain_100_a_second("grill-chain", 10);
-    let deadline_ms = bench.now_ms + 4_000;
-    bench.offer("grill-chain", 250);
-    let late = bench
+    let mut harness = Harness::equal(&["grill-chain", "lac-bistro"]);
+    harness.drain_100_a_second("grill-chain", 10);
+    let deadline_ms = harness.now_ms + 4_000;
+    harness.offer("grill-chain", 250);
+    let late = harness
         .offer_until("grill-chain", 10, Some(deadline_ms))
         .unwrap();
-    assert_eq!(bench.admission.expire(bench.now_ms), []);
-    // Another account comes, and takes half of the rate from now on.
+    assert_eq!(harness.admission.expire(harness.now_ms), []);
+    // Another account arrives and takes half of the rate from now on.
     for _ in 0..6 {
-        bench.offer("lac-bistro", 100);
+        harness.offer("lac-bistro", 100);
     }
-    bench.now_ms += 1_000;
-    let refused = bench.admission.expire(bench.now_ms);
+    harness.now_ms += 1_000;
+    let refused = harness.admission.expire(harness.now_ms);
     assert_eq!(
         refused
             .iter()
@@ -341,42 +342,42 @@
             .collect::<Vec<_>>(),
         [late]
     );
-    assert!(bench.now_ms < deadline_ms);
+    assert!(harness.now_ms < deadline_ms);
 }
 
 #[test]
-fn times_to_come_back_grow_with_the_backlog_and_differ() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    bench.drain_100_a_second("grill-chain", 10);
+fn retry_delays_grow_with_the_backlog_and_have_jitter() {
+    let mut harness = Harness::equal(&["grill-chain"]);
+    harness.drain_100_a_second("grill-chain", 10);
     let account = AccountId::from("grill-chain");
     let mut after = || {
-        bench
+        harness
             .admission
-            .retry_after_ms(&bench.service, &account, bench.now_ms)
+            .retry_after_ms(&harness.service, &account, harness.now_ms)
     };
     let (first, second) = (after(), after());
     assert!(first >= 200 && first != second);
-    bench.offer("grill-chain", 900);
+    harness.offer("grill-chain", 900);
     let account = AccountId::from("grill-chain");
-    let behind_ms = bench
+    let behind_ms = harness
         .admission
-        .retry_after_ms(&bench.service, &account, bench.now_ms);
+        .retry_after_ms(&harness.service, &account, harness.now_ms);
     assert!((6_700..12_000).contains(&behind_ms), "{behind_ms}");
 }
 
 #[test]
 fn an_outage_does_not_count_as_a_slow_service() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    bench.drain_100_a_second("grill-chain", 10);
-    // Requests wait and none runs.
-    bench.offer("grill-chain", 100);
+    let mut harness = Harness::equal(&["grill-chain"]);
+    harness.drain_100_a_second("grill-chain", 10);
+    // Requests are queued and none is running.
+    harness.offer("grill-chain", 100);
     for _ in 0..200 {
-        bench.now_ms += 100;
-        bench.admission.expire(bench.now_ms);
+        harness.now_ms += 100;
+        harness.admission.expire(harness.now_ms);
     }
-    bench.offer("grill-chain", 100);
-    let deadline_ms = bench.now_ms + 5_000;
-    bench
+    harness.offer("grill-chain", 100);
+    let deadline_ms = harness.now_ms + 5_000;
+    harness
         .offer_until("grill-chain", 100, Some(deadline_ms))
         .unwrap();
 }
@@ -387,23 +388,23 @@
     let costs = [208, 6, 1];
     let classes = [Priority::Batch, Priority::Interactive, Priority::Batch];
     let accounts: Vec<_> = (0..3).map(|at| (names[at], 1.0, classes[at])).collect();
-    let mut bench = Bench::new(&accounts);
+    let mut harness = Harness::new(&accounts);
     let mut spent = [0_u32; 3];
     for (name, cost) in names.iter().zip(costs) {
-        bench.offer(name, cost);
+        harness.offer(name, cost);
     }
     for _ in 0..2_000 {
-        let caller = bench.next().unwrap();
+        let caller = harness.next().unwrap();
         let index = names
             .iter()
-            .position(|name| *name == bench.account_of[&caller]);
+            .position(|name| *name == harness.account_of[&caller]);
         let index = index.unwrap();
         let account = AccountId::from(names[index]);
-        bench
+        harness
             .admission
-            .charge(&bench.service, &account, costs[index], 0);
-        bench.admission.remove(caller, 0);
-        bench.offer(names[index], costs[index]);
+            .charge(&harness.service, &account, costs[index], 0);
+        harness.admission.remove(caller, 0);
+        harness.offer(names[index], costs[index]);
         spent[index] += costs[index];
     }
     assert!(spent[0].abs_diff(spent[2]) <= 215, "{spent:?}");
@@ -411,23 +412,23 @@
 
 #[test]
 fn queues_are_bounded() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    for _ in 0..overload::ACCOUNT_QUEUE_LIMIT {
-        bench.offer("grill-chain", 1);
+    let mut harness = Harness::equal(&["grill-chain"]);
+    for _ in 0..overload::MAX_ACCOUNT_QUEUE {
+        harness.offer("grill-chain", 1);
     }
-    let refusal = bench.offer_until("grill-chain", 1, None).unwrap_err();
+    let refusal = harness.offer_until("grill-chain", 1, None).unwrap_err();
     assert_eq!(refusal.code, RefusalCode::AccountOverloaded);
 }
 
 #[test]
 fn retries_are_a_tenth_of_what_is_admitted() {
-    let mut bench = Bench::equal(&["grill-chain"]);
+    let mut harness = Harness::equal(&["grill-chain"]);
     let account = AccountId::from("grill-chain");
     let mut retries = 0;
     for _ in 0..1_000 {
-        bench.offer("grill-chain", 1);
-        bench.serve(1);
-        while retries < 2_000 && bench.admission.allow_retry(&bench.service, &account, 0) {
+        harness.offer("grill-chain", 1);
+        harness.serve(1);
+        while retries < 2_000 && harness.admission.allow_retry(&harness.service, &account, 0) {
             retries += 1;
         }
     }
@@ -436,10 +437,10 @@
 
 #[test]
 fn demand_counts_what_waits() {
-    let mut bench = Bench::equal(&["grill-chain"]);
-    bench.drain_100_a_second("grill-chain", 10);
-    bench.offer("grill-chain", 500);
-    let demand = &bench.admission.demands(bench.now_ms)[0];
+    let mut harness = Harness::equal(&["grill-chain"]);
+    harness.drain_100_a_second("grill-chain", 10);
+    harness.offer("grill-chain", 500);
+    let demand = &harness.admission.demands(harness.now_ms)[0];
     assert!(demand.wanted_tokens_per_s > 500.0);
     assert!(
         (90.0..110.0).contains(&demand.spent_tokens_per_s),
@@ -460,57 +461,57 @@
             .zip([Priority::Batch, Priority::Interactive].into_iter().cycle())
             .map(|((&weight, name), priority)| (name, f64::from(weight), priority))
             .collect();
-        let mut bench = Bench::new(&accounts);
+        let mut harness = Harness::new(&accounts);
         let mut spent = vec![0.0; weights.len()];
         for (index, (name, ..)) in accounts.iter().enumerate() {
-            bench.offer(name, costs[index]);
+            harness.offer(name, costs[index]);
         }
         for _ in 0..600 {
-            let caller = bench.next().unwrap();
-            let name = bench.account_of[&caller];
+            let caller = harness.next().unwrap();
+            let name = harness.account_of[&caller];
             let index = NAMES.iter().position(|&other| other == name).unwrap();
-            bench.admission.charge(&bench.service, &name.into(), costs[index], 0);
-            bench.admission.remove(caller, 0);
-            bench.offer(name, costs[index]);
+            harness.admission.charge(&harness.service, &name.into(), costs[index], 0);
+            harness.admission.remove(caller, 0);
+            harness.offer(name, costs[index]);
             spent[index] += f64::from(costs[index]) / f64::from(weights[index]);
         }
         let (least, most) = spent.iter().fold((f64::MAX, 0.0), |(least, most): (f64, f64), &level| {
             (least.min(level), most.max(level))
         });
-        // Never further apart than by the largest request of each account.
+        // Virtual times differ by at most the sum of one request of each account.
         let slack: f64 = costs.iter().map(|&cost| f64::from(cost)).sum();
         prop_assert!(most - least <= slack, "{spent:?}");
     }
 
     #[test]
     fn each_request_leaves_the_queue_once(steps in proptest::collection::vec(0_u8..6, 0..300)) {
-        let mut bench = Bench::equal(&["a", "b"]);
+        let mut harness = Harness::equal(&["a", "b"]);
         let mut waiting: Vec<CallerId> = Vec::new();
         let mut running: Vec<CallerId> = Vec::new();
         for step in steps {
-            bench.now_ms += 40;
+            harness.now_ms += 40;
             match step {
-                0 => waiting.extend(bench.offer_until("a", 30, None).ok()),
-                1 => waiting.extend(bench.offer_until("b", 70, Some(bench.now_ms + 900)).ok()),
-                2 => if let Some(caller) = bench.next() {
+                0 => waiting.extend(harness.offer_until("a", 30, None).ok()),
+                1 => waiting.extend(harness.offer_until("b", 70, Some(harness.now_ms + 900)).ok()),
+                2 => if let Some(caller) = harness.next() {
                     let at = waiting.iter().position(|&other| other == caller);
                     running.push(waiting.swap_remove(at.expect("popped twice")));
                 },
                 3 => if let Some(caller) = running.pop() {
-                    bench.admission.requeue_front(caller, bench.now_ms);
+                    harness.admission.requeue_front(caller, harness.now_ms);
                     waiting.push(caller);
                 },
                 4 => if let Some(caller) = running.pop().or_else(|| waiting.pop()) {
-                    bench.admission.charge(&bench.service, &"a".into(), 30, bench.now_ms);
-                    bench.admission.remove(caller, bench.now_ms);
+                    harness.admission.charge(&harness.service, &"a".into(), 30, harness.now_ms);
+                    harness.admission.remove(caller, harness.now_ms);
                 },
-                _ => for (caller, refusal) in bench.admission.expire(bench.now_ms) {
+                _ => for (caller, refusal) in harness.admission.expire(harness.now_ms) {
                     prop_assert_eq!(refusal.outcome, Outcome::NotRun);
                     let at = waiting.iter().position(|&other| other == caller);
                     waiting.swap_remove(at.expect("refused twice"));
                 },
             }
-            prop_assert_eq!(bench.admission.queued(&bench.service), waiting.len());
+            prop_assert_eq!(harness.admission.queued(&harness.service), waiting.len());
         }
     }
 }
