--- a/src/fairness/max_min.rs
+++ b/src/fairness/max_min.rs
@@ -1,24 +1,24 @@
 //! Weighted max-min fairness by water filling.
 
-/// What one account may be given.
+/// Weight and demand of one account.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShareClaim {
-    /// Weight; a claim whose weight is not above 0 gets nothing.
+    /// Weight; a claim without a positive, finite weight gets nothing.
     pub weight: f64,
-    /// The most it can use, in the unit of the capacity.
+    /// Upper bound of its share, in the unit of the capacity.
     pub demand: f64,
 }
 
-/// Divides `capacity` among `claims`, in their order.
+/// Divides `capacity` among `claims` and returns the shares in the same order.
 ///
-/// No claim gets more than its demand, all is given away while a demand is unmet, and what an
-/// unmet claim gets for its weight is no less than what any other gets for its own.
+/// No claim gets more than its demand, the whole capacity is assigned while any demand is unmet,
+/// and no claim gets more per weight than an unmet claim.
 pub fn max_min(capacity: f64, claims: &[ShareClaim]) -> Vec<f64> {
     let mut shares = vec![0.0; claims.len()];
-    let mut order = usable(claims);
+    let mut order = eligible(claims);
     order.sort_by(|&a, &b| {
-        level(claims, a)
-            .total_cmp(&level(claims, b))
+        saturation_level(claims, a)
+            .total_cmp(&saturation_level(claims, b))
             .then(a.cmp(&b))
     });
     let mut left = capacity.max(0.0);
@@ -37,15 +37,15 @@
     shares
 }
 
-/// Indices of the claims that may be given anything.
-fn usable(claims: &[ShareClaim]) -> Vec<usize> {
+/// Indices of the claims with a usable weight and demand.
+fn eligible(claims: &[ShareClaim]) -> Vec<usize> {
     (0..claims.len())
         .filter(|&i| claims[i].weight > 0.0 && claims[i].weight.is_finite())
         .filter(|&i| claims[i].demand > 0.0)
         .collect()
 }
 
-/// The water level at which a claim is full.
-fn level(claims: &[ShareClaim], i: usize) -> f64 {
+/// The water level at which a claim's demand is met.
+fn saturation_level(claims: &[ShareClaim], i: usize) -> f64 {
     claims[i].demand / claims[i].weight
 }
--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -1,4 +1,4 @@
-//! Fair shares: weighted max-min, worked out alike on every node.
+//! Weighted max-min fair shares, computed deterministically so that all nodes agree.
 
 mod max_min;
 mod parts;
--- a/src/fairness/parts.rs
+++ b/src/fairness/parts.rs
@@ -1,29 +1,29 @@
-//! Each entry's part of a service's slots, from the shares of the accounts behind it.
+//! Partition of a service's slots among entries, by the shares of the accounts at each entry.
 
 use indexmap::IndexMap;
 
 use super::split::EntryShare;
 use crate::ids::InstanceId;
 
-/// Number of equal pieces that a service's slots are thought to be cut into.
+/// Number of equal pieces into which a service's slots are divided.
 pub const PIECE_COUNT: u32 = 1_024;
-/// An entry has at least this part of what it would have if all had the same: its demand may rise
-/// before the next shares.
-const LEAST_OF_EQUAL: f64 = 0.25;
+/// Minimum of an entry, as a fraction of an equal division: its demand may rise before the next
+/// shares are computed.
+const MIN_FRACTION_OF_EQUAL: f64 = 0.25;
 
-/// The pieces of one entry: from `first` up to `end`, of [`PIECE_COUNT`].
+/// The pieces of one entry: the half-open range from `first` to `end`, out of [`PIECE_COUNT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryPieces {
-    /// First piece.
+    /// Index of the first piece.
     pub first: u32,
-    /// One past the last piece; greater than `first` but where there are more entries than pieces.
+    /// Index after the last piece; greater than `first` unless there are more entries than pieces.
     pub end: u32,
 }
 
-/// Deals the pieces of a service to `entries` in proportion to their shares.
+/// Assigns the pieces of a service to `entries` in proportion to their shares.
 ///
-/// Every piece is dealt to one entry. The result depends on neither order, so that each node that
-/// knows the same shares deals alike.
+/// Every piece is assigned to exactly one entry. The result does not depend on the order of the
+/// arguments, so all nodes with the same shares compute the same assignment.
 pub fn assign_entry_pieces(
     shares: &[EntryShare],
     entries: &[InstanceId],
@@ -38,12 +38,12 @@
             *wanted += share.tokens_per_s;
         }
     }
-    raise_to_least(&mut wanted);
-    deal(&wanted)
+    raise_to_minimum(&mut wanted);
+    assign_ranges(&wanted)
 }
 
-/// Gives every entry its least; all the same where nothing is asked.
-fn raise_to_least(wanted: &mut IndexMap<InstanceId, f64>) {
+/// Raises every entry to the minimum; all entries are equal if there is no demand.
+fn raise_to_minimum(wanted: &mut IndexMap<InstanceId, f64>) {
     let total: f64 = wanted.values().sum();
     let equal = if total > 0.0 {
         total / wanted.len() as f64
@@ -51,11 +51,11 @@
         1.0
     };
     for wanted in wanted.values_mut() {
-        *wanted = wanted.max(equal * LEAST_OF_EQUAL);
+        *wanted = wanted.max(equal * MIN_FRACTION_OF_EQUAL);
     }
 }
 
-fn deal(wanted: &IndexMap<InstanceId, f64>) -> IndexMap<InstanceId, EntryPieces> {
+fn assign_ranges(wanted: &IndexMap<InstanceId, f64>) -> IndexMap<InstanceId, EntryPieces> {
     let total: f64 = wanted.values().sum();
     let mut before = 0.0;
     let mut first = 0;
--- a/src/fairness/split.rs
+++ b/src/fairness/split.rs
@@ -5,47 +5,48 @@
 use super::max_min::{ShareClaim, max_min};
 use crate::ids::{AccountId, InstanceId};
 
-/// What one account asks at one entry.
+/// Demand of one account at one entry.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryDemand {
     /// The entry instance.
     pub entry: InstanceId,
     /// The account.
     pub account: AccountId,
-    /// Tokens a second it asks there, refused requests included.
+    /// Tokens per second requested there, including refused requests.
     pub wanted_tokens_per_s: f64,
 }
 
-/// The part of an account's share that one entry may spend.
+/// The portion of an account's share that one entry may spend.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EntryShare {
     /// The entry instance.
     pub entry: InstanceId,
     /// The account.
     pub account: AccountId,
-    /// Tokens a second.
+    /// Tokens per second.
     pub tokens_per_s: f64,
-    /// Tokens a second that it could have if it asked for more; at least its share.
+    /// Tokens per second available if the account requested more; at least its share.
     pub entitled_tokens_per_s: f64,
 }
 
-/// Room above its measured demand that an account is given before others get more than theirs.
+/// Factor on an account's measured demand. The capacity up to it is reserved for the account before
+/// the remainder is distributed beyond demand.
 const HEADROOM: f64 = 1.25;
 
-/// Divides `capacity_tokens_per_s` of one service: weighted max-min over the accounts by their
-/// demand at all entries together, then each account's share over its entries by demand there.
+/// Divides the capacity of one service: weighted max-min over the accounts by their total demand at
+/// all entries, then each account's share over its entries in proportion to its demand there.
 ///
-/// What no demand asks for is given away too, by weight, so that the shares add up to the capacity
-/// as long as there is any demand.
+/// Capacity beyond all demands is also distributed, by weight, so that the shares add up to the
+/// capacity as long as there is any demand.
 ///
-/// The result is in order of entry and account and depends on the demands only, not on their order:
-/// each node that knows the same demands finds the same shares. Accounts without a weight get none.
+/// The result is sorted by entry and account and does not depend on the order of the demands, so
+/// all nodes with the same demands compute the same shares. Accounts without a weight get none.
 pub fn divide_capacity(
     capacity_tokens_per_s: f64,
     weights: &IndexMap<AccountId, f64>,
     demands: &[EntryDemand],
 ) -> Vec<EntryShare> {
-    let demands = ordered(weights, demands);
+    let demands = merge_demands(weights, demands);
     let totals = totals(&demands);
     let claims: Vec<ShareClaim> = totals
         .iter()
@@ -56,19 +57,19 @@
         .collect();
     let mut shares = max_min(capacity_tokens_per_s, &claims);
     let entitled = entitled(&claims, &shares);
-    add_unasked(capacity_tokens_per_s, &claims, &mut shares);
+    distribute_remainder(capacity_tokens_per_s, &claims, &mut shares);
     demands
         .into_iter()
         .map(|demand| EntryShare {
-            tokens_per_s: part_of(&totals, &shares, &demand),
-            entitled_tokens_per_s: part_of(&totals, &entitled, &demand),
+            tokens_per_s: entry_portion(&totals, &shares, &demand),
+            entitled_tokens_per_s: entry_portion(&totals, &entitled, &demand),
             entry: demand.entry,
             account: demand.account,
         })
         .collect()
 }
 
-/// What each claim could have: as much for its weight as the claim that got the most for its own.
+/// The amount available to each claim: the highest share per weight times the claim's weight.
 fn entitled(claims: &[ShareClaim], shares: &[f64]) -> Vec<f64> {
     let levels = shares.iter().zip(claims);
     let level = levels
@@ -78,8 +79,8 @@
     claims.iter().map(|claim| level * claim.weight).collect()
 }
 
-/// Usable demands, one for each entry and account, in that order.
-fn ordered(weights: &IndexMap<AccountId, f64>, demands: &[EntryDemand]) -> Vec<EntryDemand> {
+/// Valid demands, merged per entry and account and sorted by them.
+fn merge_demands(weights: &IndexMap<AccountId, f64>, demands: &[EntryDemand]) -> Vec<EntryDemand> {
     let mut sorted: Vec<EntryDemand> = demands
         .iter()
         .filter(|demand| weights.contains_key(&demand.account))
@@ -102,7 +103,7 @@
     sorted
 }
 
-/// Demand of each account at all entries, in order of account.
+/// Total demand of each account over all entries, sorted by account.
 fn totals(demands: &[EntryDemand]) -> IndexMap<AccountId, f64> {
     let mut totals = IndexMap::new();
     for demand in demands {
@@ -112,8 +113,8 @@
     totals
 }
 
-/// Adds what is left of the capacity to the shares, by weight.
-fn add_unasked(capacity_tokens_per_s: f64, claims: &[ShareClaim], shares: &mut [f64]) {
+/// Adds the remaining capacity to the shares, by weight.
+fn distribute_remainder(capacity_tokens_per_s: f64, claims: &[ShareClaim], shares: &mut [f64]) {
     let left = (capacity_tokens_per_s - shares.iter().sum::<f64>()).max(0.0);
     let weights: f64 = claims.iter().map(|claim| claim.weight).sum();
     if weights > 0.0 {
@@ -123,8 +124,8 @@
     }
 }
 
-/// The part of its account's share that one entry's demand earns.
-fn part_of(totals: &IndexMap<AccountId, f64>, shares: &[f64], demand: &EntryDemand) -> f64 {
+/// The portion of its account's share that is proportional to one entry's demand.
+fn entry_portion(totals: &IndexMap<AccountId, f64>, shares: &[f64], demand: &EntryDemand) -> f64 {
     let Some((index, _, total)) = totals.get_full(&demand.account) else {
         return 0.0;
     };
--- a/src/fairness/tests/properties.rs
+++ b/src/fairness/tests/properties.rs
@@ -4,7 +4,7 @@
 use super::super::*;
 use crate::ids::{AccountId, InstanceId};
 
-const SLACK: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 
 fn claims() -> impl Strategy<Value = Vec<ShareClaim>> {
     let claim = (0.1..10.0_f64, 0.0..1_000.0_f64);
@@ -35,14 +35,14 @@
 
 proptest! {
     #[test]
-    fn shares_are_feasible_and_leave_nothing(capacity in 0.0..3_000.0_f64, claims in claims()) {
+    fn shares_are_feasible_and_use_the_capacity(capacity in 0.0..3_000.0_f64, claims in claims()) {
         let shares = max_min(capacity, &claims);
         let given: f64 = shares.iter().sum();
         let asked: f64 = claims.iter().map(|claim| claim.demand).sum();
-        prop_assert!(given <= capacity + SLACK);
-        prop_assert!((given - asked.min(capacity)).abs() < SLACK * (1.0 + capacity));
+        prop_assert!(given <= capacity + TOLERANCE);
+        prop_assert!((given - asked.min(capacity)).abs() < TOLERANCE * (1.0 + capacity));
         for (share, claim) in shares.iter().zip(&claims) {
-            prop_assert!(*share >= 0.0 && *share <= claim.demand + SLACK);
+            prop_assert!(*share >= 0.0 && *share <= claim.demand + TOLERANCE);
         }
     }
 
@@ -53,9 +53,9 @@
     ) {
         let shares = max_min(capacity, &claims);
         for (unmet, claim) in shares.iter().zip(&claims) {
-            if *unmet < claim.demand - SLACK {
+            if *unmet < claim.demand - TOLERANCE {
                 for (other, rival) in shares.iter().zip(&claims) {
-                    prop_assert!(other / rival.weight <= unmet / claim.weight + SLACK);
+                    prop_assert!(other / rival.weight <= unmet / claim.weight + TOLERANCE);
                 }
             }
         }
@@ -65,15 +65,15 @@
     fn shares_do_not_depend_on_the_order(
         capacity in 0.0..3_000.0_f64,
         claims in claims(),
-        turn in 0..12_usize,
+        offset in 0..12_usize,
     ) {
-        let mut turned = claims.clone();
-        let turn = turn % claims.len().max(1);
-        turned.rotate_left(turn);
+        let mut rotated = claims.clone();
+        let offset = offset % claims.len().max(1);
+        rotated.rotate_left(offset);
         let mut shares = max_min(capacity, &claims);
-        shares.rotate_left(turn);
-        for (share, other) in shares.iter().zip(max_min(capacity, &turned)) {
-            prop_assert!((share - other).abs() < SLACK);
+        shares.rotate_left(offset);
+        for (share, other) in shares.iter().zip(max_min(capacity, &rotated)) {
+            prop_assert!((share - other).abs() < TOLERANCE);
         }
     }
 
@@ -97,11 +97,11 @@
         prop_assert_eq!(&shares, &divide_capacity(capacity, &weights, &demands));
         let given: f64 = shares.iter().map(|share| share.tokens_per_s).sum();
         let due = if shares.is_empty() { 0.0 } else { capacity };
-        prop_assert!((given - due).abs() < SLACK * (1.0 + capacity));
+        prop_assert!((given - due).abs() < TOLERANCE * (1.0 + capacity));
     }
 
     #[test]
-    fn pieces_are_dealt_once_and_by_share(wanted in proptest::collection::vec(0.0..900.0_f64, 1..16)) {
+    fn pieces_are_assigned_once_in_proportion_to_shares(wanted in proptest::collection::vec(0.0..900.0_f64, 1..16)) {
         let entry = |at: usize| InstanceId::from(format!("entry-{at:02}"));
         let mut shares: Vec<EntryShare> = wanted
             .iter()
@@ -117,9 +117,9 @@
         let pieces = assign_entry_pieces(&shares, &entries);
         let mut next = 0;
         for at in 0..wanted.len() {
-            let dealt = pieces[&entry(at)];
-            prop_assert_eq!(dealt.first, next);
-            next = dealt.end;
+            let range = pieces[&entry(at)];
+            prop_assert_eq!(range.first, next);
+            next = range.end;
         }
         prop_assert_eq!(next, PIECE_COUNT);
         let equal = wanted.iter().sum::<f64>() / wanted.len() as f64;
--- a/src/fairness/tests/simulation.rs
+++ b/src/fairness/tests/simulation.rs
@@ -1,5 +1,5 @@
-//! Seven entries before one pool of engines: shares worked out over all entries, against each entry
-//! being fair by itself.
+//! Simulation of seven entries in front of one pool of engines. Compares shares computed over all
+//! entries with entries that are each fair on their own.
 
 use indexmap::IndexMap;
 use rand::rngs::StdRng;
@@ -14,7 +14,7 @@
 
 const ENTRIES: usize = 7;
 const SERVICE: &str = "copywriter-pool";
-/// Streams that the engines run at once, and the tokens a second of each.
+/// Concurrent streams of the engines, and tokens per second of each.
 const SLOTS: usize = 140;
 const SLOT_TOKENS_PER_S: f64 = 30.0;
 const CAPACITY_TOKENS_PER_S: f64 = SLOTS as f64 * SLOT_TOKENS_PER_S;
@@ -23,16 +23,16 @@
 const END_MS: u64 = 70_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// Shares over all entries, renewed each second.
+enum Mode {
+    /// Shares over all entries, recomputed every second.
     Global,
-    /// Each entry has the same part of the pool and goes by the documents' weights.
+    /// Every entry has an equal part of the pool and uses the configured weights.
     LocalOnly,
 }
 
-/// An account, the entries it is behind, and how many callers it has at each.
+/// An account, the entries it sends to, and its number of callers at each of them.
 #[derive(Clone)]
-struct Load {
+struct AccountLoad {
     account: AccountId,
     weight: f64,
     entries: Vec<usize>,
@@ -40,8 +40,8 @@
     priority: Priority,
 }
 
-fn load(name: &str, weight: f64, entries: &[usize], callers: usize) -> Load {
-    Load {
+fn load(name: &str, weight: f64, entries: &[usize], callers: usize) -> AccountLoad {
+    AccountLoad {
         account: name.into(),
         weight,
         entries: entries.to_vec(),
@@ -53,34 +53,34 @@
 struct Stream {
     caller: CallerId,
     load: usize,
-    left_tokens: f64,
+    length_tokens: f64,
     spent_tokens: f64,
 }
 
 struct Node {
     admission: Admission,
     running: Vec<Stream>,
-    /// Load and true length of each waiting request.
+    /// AccountLoad index and actual length of each queued request.
     lengths: IndexMap<CallerId, (usize, f64)>,
-    /// Callers of each load that come back, and when.
+    /// Time of the next request and load index of each idle caller.
     idle: Vec<(u64, usize)>,
-    drawn: u64,
+    last_id: u64,
 }
 
 struct Simulation {
-    way: Way,
-    loads: Vec<Load>,
+    mode: Mode,
+    loads: Vec<AccountLoad>,
     nodes: Vec<Node>,
     service: ServiceName,
     rng: StdRng,
     spent: Vec<f64>,
-    /// Requests offered, and those dispatched.
+    /// Number of enqueue attempts, and of dispatched requests.
     offered: u64,
     dispatched: u64,
 }
 
 impl Simulation {
-    fn new(way: Way, loads: &[Load], seed: u64) -> Self {
+    fn new(mode: Mode, loads: &[AccountLoad], seed: u64) -> Self {
         let service = ServiceName::from(SERVICE);
         let documents = IndexMap::from([(service.clone(), document(loads))]);
         let node = |index: usize| {
@@ -96,11 +96,11 @@
                 running: Vec::new(),
                 lengths: IndexMap::new(),
                 idle,
-                drawn: 0,
+                last_id: 0,
             }
         };
         Self {
-            way,
+            mode,
             loads: loads.to_vec(),
             nodes: (0..ENTRIES).map(node).collect(),
             service,
@@ -111,14 +111,14 @@
         }
     }
 
-    /// Tokens a second of each account, and how often a request was offered until it was dispatched.
+    /// Returns the tokens per second of each account, and the enqueue attempts per dispatched request.
     fn run(mut self) -> (Vec<f64>, f64) {
         for now_ms in (0..END_MS).step_by(STEP_MS as usize) {
-            if self.way == Way::Global && now_ms % 1_000 == 0 {
-                self.share(now_ms);
+            if self.mode == Mode::Global && now_ms % 1_000 == 0 {
+                self.update_shares(now_ms);
             }
             for index in 0..ENTRIES {
-                self.ask(index, now_ms);
+                self.send_requests(index, now_ms);
                 self.dispatch(index, now_ms);
             }
             self.generate(now_ms);
@@ -128,16 +128,16 @@
         (spent, self.offered as f64 / self.dispatched as f64)
     }
 
-    fn ask(&mut self, index: usize, now_ms: u64) {
+    fn send_requests(&mut self, index: usize, now_ms: u64) {
         let node = &mut self.nodes[index];
         for (at_ms, load) in std::mem::take(&mut node.idle) {
             if at_ms > now_ms {
                 node.idle.push((at_ms, load));
                 continue;
             }
-            node.drawn += 1;
-            let caller = CallerId(node.drawn);
-            let ask = QueueRequest {
+            node.last_id += 1;
+            let caller = CallerId(node.last_id);
+            let request = QueueRequest {
                 caller,
                 service: &self.service,
                 account: &self.loads[load].account,
@@ -145,7 +145,7 @@
                 deadline: None,
             };
             self.offered += 1;
-            match node.admission.enqueue(ask, now_ms) {
+            match node.admission.enqueue(request, now_ms) {
                 Ok(()) => {
                     let length = self.rng.random_range(20.0..180.0);
                     node.lengths.insert(caller, (load, length));
@@ -165,31 +165,31 @@
             let after_ms = refusal.retry_after_ms.unwrap_or(1_000);
             node.idle.push((now_ms + after_ms, load));
         }
-        let part = match self.way {
-            Way::Global => node.admission.entry_fraction(&self.service),
-            Way::LocalOnly => None,
+        let part = match self.mode {
+            Mode::Global => node.admission.entry_fraction(&self.service),
+            Mode::LocalOnly => None,
         };
         let slots = part.unwrap_or(1.0 / ENTRIES as f64) * SLOTS as f64;
         while node.running.len() < slots.round() as usize {
             let Some(caller) = node.admission.dequeue(&self.service, now_ms) else {
                 break;
             };
-            let (load, left_tokens) = node.lengths.swap_remove(&caller).unwrap();
+            let (load, length_tokens) = node.lengths.swap_remove(&caller).unwrap();
             self.dispatched += 1;
             node.running.push(Stream {
                 caller,
                 load,
-                left_tokens,
+                length_tokens,
                 spent_tokens: 0.0,
             });
         }
     }
 
-    /// Runs every stream for a step; beyond the slots they slow one another down.
+    /// Runs every stream for one step; streams beyond the number of slots slow all of them down.
     fn generate(&mut self, now_ms: u64) {
         let running: usize = self.nodes.iter().map(|node| node.running.len()).sum();
-        let crowd = (SLOTS as f64 / running.max(1) as f64).min(1.0);
-        let tokens = SLOT_TOKENS_PER_S * crowd * STEP_MS as f64 / 1_000.0;
+        let slowdown = (SLOTS as f64 / running.max(1) as f64).min(1.0);
+        let tokens = SLOT_TOKENS_PER_S * slowdown * STEP_MS as f64 / 1_000.0;
         for node in &mut self.nodes {
             for stream in &mut node.running {
                 let account = &self.loads[stream.load].account;
@@ -200,7 +200,7 @@
                     self.spent[stream.load] += tokens;
                 }
             }
-            let ended = |stream: &mut Stream| stream.spent_tokens >= stream.left_tokens;
+            let ended = |stream: &mut Stream| stream.spent_tokens >= stream.length_tokens;
             for stream in node.running.extract_if(.., ended) {
                 node.admission.remove(stream.caller, now_ms);
                 node.idle.push((now_ms + 100, stream.load));
@@ -208,7 +208,7 @@
         }
     }
 
-    fn share(&mut self, now_ms: u64) {
+    fn update_shares(&mut self, now_ms: u64) {
         let weights: IndexMap<AccountId, f64> = self
             .loads
             .iter()
@@ -242,8 +242,8 @@
     }
 }
 
-fn document(loads: &[Load]) -> Document {
-    let account = |load: &Load| Account {
+fn document(loads: &[AccountLoad]) -> Document {
+    let account = |load: &AccountLoad| Account {
         weight: load.weight,
         priority: load.priority,
         key_digests: Vec::new(),
@@ -262,9 +262,10 @@
     }
 }
 
-/// Least share of an account over its fair share, and the part of the capacity that was used.
-fn worst(way: Way, loads: &[Load], seed: u64) -> (f64, f64) {
-    let (spent, offers) = Simulation::new(way, loads, seed).run();
+/// Returns the lowest ratio of an account's throughput to its fair share, and the used fraction of
+/// the capacity.
+fn worst_ratio(mode: Mode, loads: &[AccountLoad], seed: u64) -> (f64, f64) {
+    let (spent, offers) = Simulation::new(mode, loads, seed).run();
     let claims: Vec<ShareClaim> = loads
         .iter()
         .map(|load| ShareClaim {
@@ -273,18 +274,18 @@
         })
         .collect();
     let fair = max_min(CAPACITY_TOKENS_PER_S, &claims);
-    println!("{way:?} seed={seed} spent={spent:.0?} fair={fair:.0?} offers={offers:.2}");
+    println!("{mode:?} seed={seed} spent={spent:.0?} fair={fair:.0?} offers={offers:.2}");
     let parts = spent.iter().zip(&fair).map(|(spent, fair)| spent / fair);
     let used = spent.iter().sum::<f64>() / CAPACITY_TOKENS_PER_S;
     (parts.fold(f64::INFINITY, f64::min), used)
 }
 
-/// Prints the figures of `docs/notes/FAIRNESS.md` and returns the least of each way.
-fn compare(name: &str, loads: &[Load]) -> (f64, f64) {
+/// Prints the figures in `docs/notes/FAIRNESS.md` and returns the lowest ratio of each mode.
+fn compare(name: &str, loads: &[AccountLoad]) -> (f64, f64) {
     let mut least = [f64::INFINITY; 2];
     for seed in 0..5 {
-        let (global, used) = worst(Way::Global, loads, seed);
-        let (local, used_local) = worst(Way::LocalOnly, loads, seed);
+        let (global, used) = worst_ratio(Mode::Global, loads, seed);
+        let (local, used_local) = worst_ratio(Mode::LocalOnly, loads, seed);
         println!(
             "{name} seed={seed} global={global:.3} used={used:.3} local={local:.3} used={used_local:.3}"
         );
@@ -303,7 +304,7 @@
 }
 
 #[test]
-fn houses_and_agencies() {
+fn large_and_small_agencies() {
     let mut loads = vec![
         load("malabar-tours", 5.0, &[0], 200),
         load("backwater-voyages", 5.0, &ALL, 60),
