--- a/src/route_table/held.rs
+++ b/src/route_table/held.rs
@@ -1,56 +1,55 @@
-//! The newest version of the table and its age.
+//! The newest known version of the route table and its age.
 
 use std::rc::Rc;
 
 use super::RouteTable;
 
-/// A version and the operator's document that it was made from.
+/// A version and the operator's document that it was built from.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableWithSource {
-    /// The version.
+    /// The parsed version.
     pub table: RouteTable,
-    /// The document as the operator wrote it, for peers that cannot read it themselves.
+    /// The document as written by the operator, for peers that cannot read it themselves.
     pub source: String,
 }
 
-/// What came of a version that was offered.
+/// Result of offering a version to [`CurrentTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TableChange {
-    /// It is newer and in force now.
+    /// The version is newer and has been applied.
     Applied,
-    /// The one in force is as new; its age may have fallen.
+    /// The version equals the current one, whose age may have decreased.
     Confirmed,
-    /// It is older than the one in force and was dropped.
+    /// The version is older than the current one and was discarded.
     Stale,
 }
 
-/// The table in force at this process.
+/// The route table that this process uses.
 #[derive(Debug, Default)]
 pub struct CurrentTable {
     table: Option<Rc<RouteTable>>,
-    /// The document of that table; empty while there is none.
+    /// The document of the table; empty while there is none.
     source: String,
-    /// When the table was surely the newest one. Never falls.
+    /// Latest time at which the table was known to be the newest. Never decreases.
     confirmed_at_ms: u64,
 }
 
 impl CurrentTable {
-    /// The table in force, if any is known.
+    /// The current table, if any.
     pub fn table(&self) -> Option<&Rc<RouteTable>> {
         self.table.as_ref()
     }
 
-    /// The operator's document that the table in force was made from, if any is known.
+    /// The operator's document that the current table was built from, if any.
     pub fn source(&self) -> Option<&str> {
         self.table.is_some().then_some(self.source.as_str())
     }
 
-    /// Takes a version that was read by a call sent at `sent_ms`. A process never goes back to an
-    /// older version.
+    /// Offers a version read by a call sent at `sent_ms`. Older versions are never applied.
     pub fn update(&mut self, offered: TableWithSource, sent_ms: u64) -> TableChange {
         let TableWithSource { table, source } = offered;
-        let held = self.table.as_ref().map(|held| held.version);
-        let change = match held {
+        let current = self.table.as_ref().map(|table| table.version);
+        let change = match current {
             Some(version) if table.version < version => return TableChange::Stale,
             Some(version) if table.version == version => TableChange::Confirmed,
             _ => {
@@ -63,16 +62,16 @@
         change
     }
 
-    /// Notes that a call sent at `sent_ms` showed nothing newer. Counted from the sending: the
-    /// reply may have been under way for any part of the time since. Says nothing where no table is
-    /// known: the first one has the age of the call that read it.
+    /// Records that a call sent at `sent_ms` found no newer version. The send time counts because
+    /// the reply may have been in transit for any part of the time since. Has no effect while there
+    /// is no table: the first table has the age of the call that read it.
     pub fn confirm(&mut self, sent_ms: u64) {
         if self.table.is_some() {
             self.confirmed_at_ms = self.confirmed_at_ms.max(sent_ms);
         }
     }
 
-    /// When the table was last known to be the newest.
+    /// Time at which the table was last known to be the newest.
     pub fn confirmed_at_ms(&self) -> u64 {
         self.confirmed_at_ms
     }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -1,7 +1,7 @@
-//! What operators decide about relayed requests: routes, services, client accounts and limits.
+//! Operator configuration of relayed requests: routes, services, client accounts and limits.
 //!
-//! A [`RouteTable`] is one accepted version, whole. [`CurrentTable`] keeps the newest one and how
-//! long ago it was known to be the newest.
+//! A [`RouteTable`] is one complete accepted version. [`CurrentTable`] holds the newest known
+//! version and the time at which it was last confirmed to be the newest.
 
 mod held;
 mod table;
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -1,10 +1,10 @@
-//! One version of the table, and the lookup of a request in it.
+//! One version of the route table, and request lookup.
 
 use indexmap::IndexMap;
 
 use crate::ids::{AccountId, ServiceName};
 
-/// What may be done twice with a request of a route.
+/// Whether requests of a route may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepeatPolicy {
     /// The request may run more than once.
@@ -13,13 +13,13 @@
     NonIdempotent,
     /// The answer is a stream of events.
     Stream {
-        /// Whether another run may go on behind the last event that was delivered.
+        /// Whether another run may resume after the last delivered event.
         resumable: bool,
     },
 }
 
 impl RepeatPolicy {
-    /// Whether a run that was perhaps begun may be followed by another.
+    /// Whether a request may be run again when an earlier run may have started.
     pub fn allows_rerun(self) -> bool {
         match self {
             Self::Idempotent => true,
@@ -34,42 +34,42 @@
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its weight within a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedService {
-    /// Service.
+    /// Name of the service.
     pub service: ServiceName,
-    /// Part relative to the other services of the route.
+    /// Fraction of requests, relative to the other services of the route.
     pub weight: u32,
 }
 
-/// Where requests under one path prefix go.
+/// Routing rule for the requests under one path prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Name, for log lines.
+    /// Name used in log lines.
     pub name: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be run again.
     pub repeat: RepeatPolicy,
-    /// Longest time a caller may be kept waiting for the final word.
+    /// Maximum time until the caller gets a final response.
     pub timeout_ms: u64,
-    /// Time within which an answer is of full use.
+    /// Latency objective for an answer.
     pub objective_ms: u64,
-    /// Longest pause between two events with which a stream is of full use, if the route has one.
+    /// Objective for the longest pause between two events of a stream, if the route has one.
     pub pause_objective_ms: Option<u64>,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Services, by weight; never empty.
+    /// Weighted services; never empty.
     pub services: Vec<WeightedService>,
-    /// Most endpoints on which one request may run.
+    /// Maximum number of endpoints on which one request may run.
     pub max_endpoints: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub is_public: bool,
 }
 
 impl Route {
-    /// The service for a request, by a number drawn evenly from all of `u64`.
+    /// Selects a service by weight; `draw` must be uniformly distributed over `u64`.
     pub fn pick_service(&self, draw: u64) -> Option<&ServiceName> {
         let total: u64 = self.services.iter().map(|it| u64::from(it.weight)).sum();
         if total == 0 {
@@ -92,111 +92,111 @@
 pub struct Account {
     /// Name.
     pub name: AccountId,
-    /// Rank that goes before the route's, if any.
+    /// Priority that overrides the route's, if any.
     pub priority: Option<u32>,
 }
 
-/// A kind of accelerator that engines run on.
+/// A kind of accelerator on which engines run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AcceleratorKind {
-    /// Memory for layers and for requests.
+    /// Memory for layers and requests.
     pub memory_mb: f64,
-    /// Factor on the time of a token step.
+    /// Factor applied to the time of a token step.
     pub step_factor: f64,
-    /// Factor on the time to read a prompt.
+    /// Factor applied to the time to read a prompt.
     pub read_factor: f64,
 }
 
-/// A model and the pace of its engines.
+/// A model and the performance of its engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineModel {
-    /// Layers of the model.
+    /// Number of layers.
     pub layers: u16,
     /// Memory of one layer's weights.
     pub layer_mb: f64,
-    /// Memory of one token's key-value state over all layers.
+    /// Size of one token's key-value cache over all layers.
     pub token_kv_bytes: f64,
-    /// Time of a token step over all layers, before the factor of the kind.
+    /// Time of a token step over all layers, before the accelerator's factor.
     pub step_ms: f64,
-    /// Prompt tokens read in a second over all layers, before the factor of the kind.
+    /// Prompt tokens processed per second over all layers, before the accelerator's factor.
     pub read_tokens_per_s: f64,
-    /// Prompt of a usual request.
+    /// Prompt length of a typical request.
     pub usual_prompt_tokens: u64,
-    /// Answer of a usual request.
+    /// Answer length of a typical request.
     pub usual_answer_tokens: u64,
     /// Time to load all layers.
     pub load_ms: u64,
-    /// Loads that run side by side at full speed; 0 for no limit.
+    /// Number of concurrent loads that run at full speed; 0 means unlimited.
     pub loads_at_once: u32,
-    /// Kinds of accelerators by name.
+    /// Accelerator kinds by name.
     pub kinds: IndexMap<String, AcceleratorKind>,
 }
 
-/// A service that routes lead to.
+/// A service that is the target of routes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceSpec {
-    /// Connections that one of its endpoints takes from all callers together.
+    /// Maximum number of connections to one endpoint, from all callers together.
     pub max_connections: u32,
-    /// Model, if its endpoints are engines that hold layers.
+    /// The model, if the endpoints are engines that host layers.
     pub model: Option<EngineModel>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest request head.
+    /// Maximum size of the request header section.
     pub max_header_bytes: usize,
-    /// Longest body.
+    /// Maximum size of the request body.
     pub max_body_bytes: usize,
-    /// Longest time for a request head to arrive.
+    /// Maximum time to receive the request header section.
     pub header_timeout_ms: u64,
-    /// Longest time a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_timeout_ms: u64,
 }
 
-/// Why a request is turned away by the table.
+/// Why the route table rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// No route matches host and path.
+    /// No route matches the host and path.
     NoRoute,
     /// The key is missing or unknown.
     UnknownKey,
 }
 
-/// A request's route and account.
+/// The route and account of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Resolved<'a> {
     /// Route.
     pub route: &'a Route,
-    /// Account whose key the request carries; `None` where no key is needed.
+    /// Account of the request's key; `None` if no key is needed.
     pub account: Option<&'a Account>,
 }
 
 impl Resolved<'_> {
-    /// Rank of the request; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub fn priority(&self) -> u32 {
         let own = self.account.and_then(|account| account.priority);
         own.unwrap_or(self.route.priority)
     }
 }
 
-/// One accepted version.
+/// One accepted version of the route table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
-    /// Version; grows in uneven steps.
+    /// Version; increases, not necessarily by 1.
     pub version: u64,
-    /// Routes by host; within a host the longest prefix stands first.
+    /// Routes by host, sorted by descending prefix length.
     hosts: IndexMap<String, Vec<Route>>,
     /// Services by name.
     pub services: IndexMap<ServiceName, ServiceSpec>,
-    /// Account of each key; `None` if the table knows no accounts and no request needs a key.
+    /// Account of each key; `None` if the table has no accounts, so that no request needs a key.
     accounts_by_key: Option<IndexMap<String, Account>>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
 }
 
 impl RouteTable {
-    /// Puts a version together; `routes` are pairs of host and route.
+    /// Builds a version from pairs of host and route.
     pub fn new(
         version: u64,
         routes: Vec<(String, Route)>,
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Finds route and account of a request. `host` may carry a port.
+    /// Looks up the route and account of a request. `host` may include a port.
     pub fn resolve(
         &self,
         host: &str,
--- a/src/route_table/tests.rs
+++ b/src/route_table/tests.rs
@@ -54,17 +54,17 @@
 
 #[test]
 fn a_key_is_needed_unless_the_route_is_public() {
-    let mut open = route("/open/", "s");
-    open.is_public = true;
-    let table = table(1, vec![route("/a/", "s"), open]);
-    let ask = |path, key| {
+    let mut public = route("/open/", "s");
+    public.is_public = true;
+    let table = table(1, vec![route("/a/", "s"), public]);
+    let resolve = |path, key| {
         let found = table.resolve("host.example", path, key);
         found.map(|it| it.priority())
     };
-    assert_eq!(ask("/a/x", Some("key-1")), Ok(0));
-    assert_eq!(ask("/a/x", Some("key-2")), Err(Rejection::UnknownKey));
-    assert_eq!(ask("/a/x", None), Err(Rejection::UnknownKey));
-    assert_eq!(ask("/open/x", None), Ok(2));
+    assert_eq!(resolve("/a/x", Some("key-1")), Ok(0));
+    assert_eq!(resolve("/a/x", Some("key-2")), Err(Rejection::UnknownKey));
+    assert_eq!(resolve("/a/x", None), Err(Rejection::UnknownKey));
+    assert_eq!(resolve("/open/x", None), Ok(2));
 }
 
 #[test]
@@ -88,22 +88,22 @@
 }
 
 #[test]
-fn a_held_table_never_goes_back() {
-    let mut held = CurrentTable::default();
-    assert_eq!(held.source(), None);
-    assert_eq!(held.update(sourced(5), 100), TableChange::Applied);
-    assert_eq!(held.update(sourced(3), 200), TableChange::Stale);
-    assert_eq!(held.age_ms(250), 150);
-    assert_eq!(held.update(sourced(5), 220), TableChange::Confirmed);
-    assert_eq!(held.age_ms(250), 30);
-    held.confirm(90);
-    assert_eq!(held.age_ms(250), 30);
+fn an_older_table_is_never_applied() {
+    let mut current = CurrentTable::default();
+    assert_eq!(current.source(), None);
+    assert_eq!(current.update(sourced(5), 100), TableChange::Applied);
+    assert_eq!(current.update(sourced(3), 200), TableChange::Stale);
+    assert_eq!(current.age_ms(250), 150);
+    assert_eq!(current.update(sourced(5), 220), TableChange::Confirmed);
+    assert_eq!(current.age_ms(250), 30);
+    current.confirm(90);
+    assert_eq!(current.age_ms(250), 30);
 }
 
 #[test]
 fn the_first_table_is_no_newer_than_the_call_that_read_it() {
-    let mut held = CurrentTable::default();
-    held.confirm(900);
-    assert_eq!(held.update(sourced(5), 100), TableChange::Applied);
-    assert_eq!(held.age_ms(1_000), 900);
+    let mut current = CurrentTable::default();
+    current.confirm(900);
+    assert_eq!(current.update(sourced(5), 100), TableChange::Applied);
+    assert_eq!(current.age_ms(1_000), 900);
 }
