--- a/src/telemetry/counters.rs
+++ b/src/telemetry/counters.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and times of one process, kept through `cadence`.
+//! Counters, gauges and timings of one process, recorded through `cadence`.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 use super::sink::{Series, SeriesSink};
 use crate::invariant;
 
-/// A handle on the process's counters; cheap to clone.
+/// A handle to the metrics of the process; cheap to clone.
 #[derive(Clone)]
 pub struct Counters {
     client: Arc<StatsdClient>,
@@ -16,7 +16,7 @@
 }
 
 impl Counters {
-    /// Starts with nothing counted.
+    /// Creates an empty set of metrics.
     pub fn new() -> Self {
         let series = Series::default();
         let sink = SeriesSink::new(series.clone());
@@ -26,34 +26,34 @@
         }
     }
 
-    /// Counts one event. Names are words joined by dots, such as `entry.requests.refused`.
+    /// Increments a counter. Names are words separated by dots, such as `entry.requests.refused`.
     pub fn count(&self, name: &str) {
         let _ = self.client.incr(name);
     }
 
-    /// Counts `n` events.
+    /// Adds `n` to a counter.
     pub fn add(&self, name: &str, n: u64) {
         let _ = Counted::<u64>::count(&*self.client, name, n);
     }
 
-    /// Sets the present value of something that rises and falls.
+    /// Sets a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = Gauged::<u64>::gauge(&*self.client, name, value);
     }
 
-    /// Records how long something took.
+    /// Records a duration in a histogram.
     pub fn time_ms(&self, name: &str, value_ms: u64) {
         let _ = Timed::<u64>::time(&*self.client, name, value_ms);
     }
 
-    /// The present value of a counter or gauge, or how many times were recorded; 0 if unknown.
+    /// The value of a counter or gauge, or the number of recorded durations; 0 if the name is unknown.
     pub fn value(&self, name: &str) -> u64 {
         self.series.value(name)
     }
 
-    /// Every counter, gauge, time and violated invariant, in the text form that scrapers read.
+    /// All metrics and invariant violations in the Prometheus text format.
     pub fn render_prometheus(&self) -> String {
-        let mut page = self.series.page();
+        let mut page = self.series.render();
         for (name, times) in invariant::violations() {
             page.push_str(&format!(
                 "fescue_invariant_violations{{invariant=\"{name}\"}} {times}\n"
--- a/src/telemetry/log_lines.rs
+++ b/src/telemetry/log_lines.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard error: one a line, structured, for changes of state only.
+//! Structured logging to standard error, one record per line, for state changes only.
 
 use std::io::{self, Write};
 
@@ -11,15 +11,15 @@
 
 use crate::settings::{LogFormat, LogSettings};
 
-/// Why log lines cannot be written.
+/// Error while initialising the logger.
 #[derive(Debug, Error)]
 pub enum TelemetryError {
-    /// A logger was set before.
-    #[error("the log was started twice in one process")]
+    /// A logger is already installed.
+    #[error("the logger is already initialised in this process")]
     StartedTwice(#[from] log::SetLoggerError),
 }
 
-/// Starts the process's log. Lines of libraries below `warn` are left out.
+/// Initialises the logger of the process. Library records below `warn` are filtered out.
 pub fn init_log(settings: &LogSettings) -> Result<(), TelemetryError> {
     line_logger(settings).try_init()?;
     Ok(())
@@ -31,8 +31,8 @@
     builder
         .filter_level(libraries)
         .filter_module("fescue", settings.level)
-        // An answer that is broken off on purpose is an error to the server library; the relay has
-        // its own line for it.
+        // The server library logs deliberately aborted responses as errors; the relay logs these
+        // itself.
         .filter_module("actix_http::h1::dispatcher", LevelFilter::Off)
         .format(match settings.format {
             LogFormat::Text => write_text,
@@ -45,12 +45,12 @@
     let at = f.timestamp_millis();
     let level = record.level();
     let mut line = format!("{at} {level} {} {}", record.target(), record.args());
-    let _ = record.key_values().visit(&mut TextPairs(&mut line));
+    let _ = record.key_values().visit(&mut TextVisitor(&mut line));
     writeln!(f, "{line}")
 }
 
 fn write_json(f: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
-    let mut pairs = JsonPairs(Map::new());
+    let mut pairs = JsonVisitor(Map::new());
     let _ = record.key_values().visit(&mut pairs);
     let line = json!({
         "at": f.timestamp_millis().to_string(),
@@ -62,25 +62,25 @@
     writeln!(f, "{line}")
 }
 
-struct TextPairs<'a>(&'a mut String);
+struct TextVisitor<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for TextPairs<'_> {
+impl<'kvs> VisitSource<'kvs> for TextVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = value.to_string();
-        let plain = !value.is_empty() && !value.contains(char_to_quote);
+        let plain = !value.is_empty() && !value.contains(needs_quoting);
         let shown = if plain { value } else { format!("{value:?}") };
         self.0.push_str(&format!(" {key}={shown}"));
         Ok(())
     }
 }
 
-fn char_to_quote(c: char) -> bool {
+fn needs_quoting(c: char) -> bool {
     c.is_whitespace() || c.is_control() || c == '"' || c == '='
 }
 
-struct JsonPairs(Map<String, serde_json::Value>);
+struct JsonVisitor(Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for JsonPairs {
+impl<'kvs> VisitSource<'kvs> for JsonVisitor {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         let value = match (value.to_u64(), value.to_bool()) {
             (Some(number), _) => json!(number),
--- a/src/telemetry/mod.rs
+++ b/src/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Log lines and counters of a process.
+//! Logging and metrics of a process.
 
 mod counters;
 mod log_lines;
--- a/src/telemetry/sink.rs
+++ b/src/telemetry/sink.rs
@@ -1,4 +1,4 @@
-//! Where `cadence` delivers: a map of name to value in this process.
+//! The `cadence` sink: an in-process map from metric name to value.
 
 use std::fmt::Write;
 use std::io;
@@ -7,10 +7,10 @@
 use cadence::MetricSink;
 use indexmap::IndexMap;
 
-/// Upper bounds of the buckets that times are counted in.
+/// Upper bounds of the histogram buckets.
 const BUCKETS_MS: [u64; 12] = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000, 5_000, 30_000];
 
-/// Every series of the process.
+/// All metrics of the process.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Series(Arc<Mutex<IndexMap<String, Metric>>>);
 
@@ -18,24 +18,24 @@
 enum Metric {
     Counter(u64),
     Gauge(u64),
-    Time(Times),
+    Histogram(Histogram),
 }
 
 #[derive(Clone, Debug, Default)]
-struct Times {
+struct Histogram {
     count: u64,
     sum_ms: u64,
-    /// Times at most as long as the bound at the same place in [`BUCKETS_MS`].
-    within: [u64; BUCKETS_MS.len()],
+    /// Cumulative counts per bucket: values up to the bound at the same index in [`BUCKETS_MS`].
+    cumulative: [u64; BUCKETS_MS.len()],
 }
 
-impl Times {
+impl Histogram {
     fn record(&mut self, value_ms: u64) {
         self.count += 1;
         self.sum_ms = self.sum_ms.saturating_add(value_ms);
-        for (bound_ms, within) in BUCKETS_MS.iter().zip(&mut self.within) {
+        for (bound_ms, cumulative) in BUCKETS_MS.iter().zip(&mut self.cumulative) {
             if value_ms <= *bound_ms {
-                *within += 1;
+                *cumulative += 1;
             }
         }
     }
@@ -45,28 +45,28 @@
     pub(super) fn value(&self, name: &str) -> u64 {
         match self.lock().get(name) {
             Some(Metric::Counter(value) | Metric::Gauge(value)) => *value,
-            Some(Metric::Time(times)) => times.count,
+            Some(Metric::Histogram(histogram)) => histogram.count,
             None => 0,
         }
     }
 
-    pub(super) fn page(&self) -> String {
+    pub(super) fn render(&self) -> String {
         let mut series: Vec<(String, Metric)> = self
             .lock()
             .iter()
-            .map(|(name, metric)| (page_name(name), metric.clone()))
+            .map(|(name, metric)| (metric_name(name), metric.clone()))
             .collect();
         series.sort_by(|a, b| a.0.cmp(&b.0));
-        let mut page = String::new();
+        let mut output = String::new();
         for (name, metric) in &series {
-            write_metric(&mut page, name, metric);
+            write_metric(&mut output, name, metric);
         }
-        page
+        output
     }
 
     fn record(&self, name: &str, sample: &Sample) {
         let mut series = self.lock();
-        // Two steps, so that a known name is not copied.
+        // `entry` would allocate the name on every call.
         match series.get_mut(name) {
             Some(metric) => metric.record(sample),
             None => {
@@ -85,18 +85,18 @@
         let mut metric = match sample {
             Sample::Count(_) => Self::Counter(0),
             Sample::Gauge(_) => Self::Gauge(0),
-            Sample::Time(_) => Self::Time(Times::default()),
+            Sample::Time(_) => Self::Histogram(Histogram::default()),
         };
         metric.record(sample);
         metric
     }
 
-    /// Records a sample; one of another kind than the series is dropped.
+    /// Records a sample. A sample of a different kind than the metric is dropped.
     fn record(&mut self, sample: &Sample) {
         match (self, sample) {
             (Self::Counter(value), Sample::Count(n)) => *value = value.saturating_add(*n),
             (Self::Gauge(value), Sample::Gauge(now)) => *value = *now,
-            (Self::Time(times), Sample::Time(value_ms)) => times.record(*value_ms),
+            (Self::Histogram(histogram), Sample::Time(value_ms)) => histogram.record(*value_ms),
             _ => {}
         }
     }
@@ -108,8 +108,8 @@
     Time(u64),
 }
 
-/// Reads `name:value|kind`, the form in which `cadence` writes.
-fn read_sample(line: &str) -> Option<(&str, Sample)> {
+/// Parses `name:value|kind`, the format written by `cadence`.
+fn parse_sample(line: &str) -> Option<(&str, Sample)> {
     let (name, rest) = line.rsplit_once(':')?;
     let (value, kind) = rest.split_once('|')?;
     let value: u64 = value.parse().ok()?;
@@ -122,7 +122,7 @@
     Some((name, sample))
 }
 
-fn page_name(name: &str) -> String {
+fn metric_name(name: &str) -> String {
     let safe: String = name
         .chars()
         .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
@@ -130,30 +130,30 @@
     format!("fescue_{safe}")
 }
 
-fn write_metric(page: &mut String, name: &str, metric: &Metric) {
+fn write_metric(output: &mut String, name: &str, metric: &Metric) {
     let _ = match metric {
-        Metric::Counter(value) => writeln!(page, "# TYPE {name} counter\n{name} {value}"),
-        Metric::Gauge(value) => writeln!(page, "# TYPE {name} gauge\n{name} {value}"),
-        Metric::Time(times) => write_times(page, name, times),
+        Metric::Counter(value) => writeln!(output, "# TYPE {name} counter\n{name} {value}"),
+        Metric::Gauge(value) => writeln!(output, "# TYPE {name} gauge\n{name} {value}"),
+        Metric::Histogram(histogram) => write_histogram(output, name, histogram),
     };
 }
 
-fn write_times(page: &mut String, name: &str, times: &Times) -> std::fmt::Result {
-    let Times {
+fn write_histogram(output: &mut String, name: &str, histogram: &Histogram) -> std::fmt::Result {
+    let Histogram {
         count,
         sum_ms,
-        within,
-    } = times;
-    writeln!(page, "# TYPE {name}_ms histogram")?;
-    for (bound_ms, within) in BUCKETS_MS.iter().zip(within) {
-        writeln!(page, "{name}_ms_bucket{{le=\"{bound_ms}\"}} {within}")?;
+        cumulative,
+    } = histogram;
+    writeln!(output, "# TYPE {name}_ms histogram")?;
+    for (bound_ms, cumulative) in BUCKETS_MS.iter().zip(cumulative) {
+        writeln!(output, "{name}_ms_bucket{{le=\"{bound_ms}\"}} {cumulative}")?;
     }
-    writeln!(page, "{name}_ms_bucket{{le=\"+Inf\"}} {count}")?;
-    writeln!(page, "{name}_ms_sum {sum_ms}")?;
-    writeln!(page, "{name}_ms_count {count}")
+    writeln!(output, "{name}_ms_bucket{{le=\"+Inf\"}} {count}")?;
+    writeln!(output, "{name}_ms_sum {sum_ms}")?;
+    writeln!(output, "{name}_ms_count {count}")
 }
 
-/// Hands each sample to the map.
+/// Records each sample emitted by `cadence`.
 #[derive(Debug)]
 pub(super) struct SeriesSink {
     series: Series,
@@ -167,7 +167,7 @@
 
 impl MetricSink for SeriesSink {
     fn emit(&self, line: &str) -> io::Result<usize> {
-        if let Some((name, sample)) = read_sample(line) {
+        if let Some((name, sample)) = parse_sample(line) {
             self.series.record(name, &sample);
         }
         Ok(line.len())
--- a/src/telemetry/stdout.rs
+++ b/src/telemetry/stdout.rs
@@ -1,8 +1,7 @@
-//! Log lines on standard output, written by a thread of their own.
+//! Logging to standard output on a dedicated thread.
 //!
-//! A reader that takes nothing must not hold up requests: lines wait in a queue of fixed length,
-//! and what does not fit is dropped and counted. The count is written with the next line that
-//! fits.
+//! A stalled reader must not block requests: lines are buffered in a bounded queue, and lines that
+//! do not fit are dropped and counted. The count is logged before the next line that fits.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, SyncSender, TrySendError, sync_channel};
@@ -14,11 +13,11 @@
 use super::log_lines::{TelemetryError, line_logger};
 use crate::settings::{LogFormat, LogSettings};
 
-/// Lines that wait for the writer. At 300 bytes a line this is 1.2 MB at most; the busiest
-/// instance wrote 176 lines in its worst second.
-const WAITING_LINES: usize = 4_096;
+/// Maximum number of lines buffered for the writer thread: about 1.2 MB at 300 bytes per line. The
+/// busiest instance peaked at 176 lines per second.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Starts the process's log as JSON lines on standard output, which never blocks the caller.
+/// Initialises the logger with JSON lines on standard output. Logging never blocks the caller.
 pub fn init_stdout_log(level: LevelFilter) -> Result<(), TelemetryError> {
     let settings = LogSettings {
         format: LogFormat::Json,
@@ -31,24 +30,24 @@
     Ok(())
 }
 
-/// Takes whole lines and hands them to the writing thread.
+/// Passes complete lines to the writer thread. Each `write` call must contain one whole line.
 pub(super) struct LineQueue {
     lines: SyncSender<Vec<u8>>,
     dropped: u64,
 }
 
 impl LineQueue {
-    /// A queue whose lines go to `output`.
+    /// Starts a writer thread for `output`.
     pub(super) fn start<W>(output: W) -> Self
     where
         W: Write + Send + 'static,
     {
-        let (lines, waiting) = sync_channel(WAITING_LINES);
-        thread::spawn(move || write_lines(&waiting, output));
+        let (lines, receiver) = sync_channel(QUEUE_CAPACITY);
+        thread::spawn(move || write_lines(&receiver, output));
         Self { lines, dropped: 0 }
     }
 
-    fn offer(&mut self, line: Vec<u8>) -> bool {
+    fn try_enqueue(&mut self, line: Vec<u8>) -> bool {
         match self.lines.try_send(line) {
             Ok(()) => true,
             Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => false,
@@ -63,11 +62,11 @@
                 "{{\"level\":\"WARN\",\"message\":\"log lines were dropped\",\"values\":{{\"lines\":{}}}}}\n",
                 self.dropped
             );
-            if self.offer(note.into_bytes()) {
+            if self.try_enqueue(note.into_bytes()) {
                 self.dropped = 0;
             }
         }
-        if !self.offer(line.to_vec()) {
+        if !self.try_enqueue(line.to_vec()) {
             self.dropped += 1;
         }
         Ok(line.len())
@@ -78,13 +77,13 @@
     }
 }
 
-fn write_lines<W>(waiting: &Receiver<Vec<u8>>, mut output: W)
+fn write_lines<W>(receiver: &Receiver<Vec<u8>>, mut output: W)
 where
     W: Write,
 {
-    while let Ok(line) = waiting.recv() {
+    while let Ok(line) = receiver.recv() {
         if output.write_all(&line).is_err() {
-            // Nobody reads any more; there is nowhere left to say so.
+            // The reader is gone, so the error cannot be logged here either.
             return;
         }
         if output.flush().is_err() {
--- a/src/telemetry/tests.rs
+++ b/src/telemetry/tests.rs
@@ -34,11 +34,11 @@
     insta::assert_snapshot!(counters.render_prometheus());
 }
 
-/// A place that log lines are written to.
+/// A shared buffer for written log lines.
 #[derive(Clone, Default)]
-struct Lines(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Lines {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().write(bytes)
     }
@@ -48,9 +48,9 @@
     }
 }
 
-/// The lines that one record gives, without their time.
+/// Returns the formatted log output of one record.
 fn logged(format: LogFormat, target: &str, level: Level) -> String {
-    let lines = Lines::default();
+    let lines = SharedBuffer::default();
     let settings = LogSettings {
         format,
         ..LogSettings::default()
@@ -92,15 +92,15 @@
 }
 
 #[test]
-fn libraries_are_quiet_below_warnings() {
+fn library_records_below_warn_are_filtered() {
     assert_eq!(logged(LogFormat::Text, "actix_server", Level::Info), "");
     assert_ne!(logged(LogFormat::Text, "actix_server", Level::Warn), "");
 }
 
 #[test]
-fn a_reader_that_takes_nothing_does_not_hold_up_the_writer() {
-    struct Stuck;
-    impl Write for Stuck {
+fn a_stalled_reader_does_not_block_logging() {
+    struct BlockedWriter;
+    impl Write for BlockedWriter {
         fn write(&mut self, _: &[u8]) -> io::Result<usize> {
             loop {
                 std::thread::park();
@@ -110,26 +110,26 @@
             Ok(())
         }
     }
-    let mut queue = LineQueue::start(Stuck);
-    let begun = std::time::Instant::now();
+    let mut queue = LineQueue::start(BlockedWriter);
+    let started = std::time::Instant::now();
     for _ in 0..10_000 {
         queue
             .write_all(b"a line\n")
             .expect("lines are dropped, not refused");
     }
-    assert!(begun.elapsed() < std::time::Duration::from_secs(1));
+    assert!(started.elapsed() < std::time::Duration::from_secs(1));
 }
 
 #[test]
 fn dropped_lines_are_counted_in_the_next_that_fits() {
     let (sender, lines) = std::sync::mpsc::channel::<Vec<u8>>();
     let (open, gate) = std::sync::mpsc::channel::<()>();
-    struct Gated(
+    struct GatedWriter(
         std::sync::mpsc::Sender<Vec<u8>>,
         std::sync::mpsc::Receiver<()>,
         bool,
     );
-    impl Write for Gated {
+    impl Write for GatedWriter {
         fn write(&mut self, line: &[u8]) -> io::Result<usize> {
             if !self.2 {
                 self.2 = self.1.recv().is_ok();
@@ -141,15 +141,15 @@
             Ok(())
         }
     }
-    let mut queue = LineQueue::start(Gated(sender, gate, false));
+    let mut queue = LineQueue::start(GatedWriter(sender, gate, false));
     for _ in 0..5_000 {
         queue
             .write_all(b"a line\n")
             .expect("lines are dropped, not refused");
     }
-    open.send(()).expect("the writer waits for it");
-    // One is with the writer at most, so the queue has room once the first has been written.
-    lines.recv().expect("the writer goes on");
+    open.send(()).expect("the writer thread waits for the gate");
+    // The writer thread holds at most one line, so the queue has room after the first is written.
+    lines.recv().expect("the writer thread continues");
     std::thread::sleep(std::time::Duration::from_millis(50));
     queue.write_all(b"the next\n").expect("there is room");
     let text: Vec<String> = lines
