--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,13 +1,13 @@
-//! A clock that keeps running while the machine is suspended, and the time of day.
+//! The boot-time clock, which keeps running while the machine is suspended, and the wall clock.
 //!
-//! Ages of what was read and ends of leases are counted on it: the monotonic clock stands still
-//! during a suspension, and a process that wakes up would take old data for fresh.
+//! Data ages and lease expiry use the boot-time clock: the monotonic clock stops during a
+//! suspension, so a resumed process would treat stale data as fresh.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// Milliseconds on the boot-time clock; only differences have a meaning.
+/// Milliseconds on the boot-time clock; only differences are meaningful.
 pub fn boot_ms() -> u64 {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or(0);
@@ -15,7 +15,8 @@
     seconds * 1_000 + nanos / 1_000_000
 }
 
-/// Milliseconds of the Unix epoch, for what outlives a machine's start; the time of day may be set back.
+/// Milliseconds since the Unix epoch, for values that must survive a reboot. The wall clock may be
+/// set back.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |it| u64::try_from(it.as_millis()).unwrap_or(u64::MAX))
--- a/src/exit_codes.rs
+++ b/src/exit_codes.rs
@@ -1,37 +1,37 @@
-//! Exit codes of every binary, by name.
+//! Named exit codes shared by all binaries.
 
 use std::process::{ExitCode, Termination};
 
-/// How a process ended.
+/// Exit status of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(u8)]
 pub enum Exit {
-    /// All that was asked is done.
+    /// The command completed.
     Success = 0,
-    /// A fault without a code of its own.
+    /// An error without a more specific code.
     Fault = 1,
-    /// The command line cannot be used.
+    /// The command line is invalid.
     Usage = 2,
-    /// The settings file is missing or has faults; nothing was started.
+    /// The settings file is missing or invalid; nothing was started.
     BadSettings = 3,
-    /// The document has faults; nothing was changed.
+    /// The document is invalid; nothing was changed.
     BadDocument = 4,
     /// Another change was accepted first; nothing was changed.
     Conflict = 5,
-    /// The key is missing, unknown, or its role does not allow the call.
+    /// The key is missing or unknown, or its role does not permit the call.
     NotAllowed = 6,
-    /// No control, or not the platform behind it, could be reached.
+    /// No control process is reachable, or the platform behind it is not.
     Unavailable = 7,
-    /// The process was told to stop at once and cut off requests in flight.
+    /// The process was told to stop immediately and aborted requests in flight.
     Forced = 8,
-    /// The document was accepted, but some instance has not confirmed it in time.
+    /// The document was accepted, but at least one instance did not confirm it in time.
     NotInForce = 9,
-    /// What was asked for does not exist.
+    /// The requested object does not exist.
     NotFound = 10,
 }
 
 impl Exit {
-    /// Every way to end, in the order of the codes.
+    /// All exit statuses, ordered by code.
     pub const ALL: [Self; 11] = [
         Self::Success,
         Self::Fault,
@@ -46,12 +46,12 @@
         Self::NotFound,
     ];
 
-    /// The number that the operating system sees.
+    /// The numeric code passed to the operating system.
     pub fn code(self) -> u8 {
         self as u8
     }
 
-    /// The name that messages and `--json` use.
+    /// The name used in messages and in `--json` output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Success => "success",
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -1,7 +1,7 @@
-//! Invariants asserted while the program runs.
+//! Runtime invariant checks.
 //!
-//! A violated invariant is counted, logged once for each name with its evidence, and fatal where
-//! debug assertions are on, as in tests.
+//! A violation is counted, logged once per invariant name with its evidence, and panics when debug
+//! assertions are enabled, as in tests.
 
 use std::fmt::Display;
 use std::sync::{Mutex, PoisonError};
@@ -10,7 +10,7 @@
 
 static VIOLATIONS: Mutex<Option<IndexMap<&'static str, u64>>> = Mutex::new(None);
 
-/// Reports a violation unless `holds`; `evidence` is only worked out for a violation.
+/// Reports a violation unless `holds`; `evidence` is evaluated only on a violation.
 pub fn check<E, F>(holds: bool, name: &'static str, evidence: F)
 where
     E: Display,
@@ -21,11 +21,11 @@
     }
 }
 
-/// Reports that an invariant does not hold.
+/// Counts a violation and logs the first one for each invariant.
 ///
 /// # Panics
 ///
-/// Panics where debug assertions are on.
+/// Panics when debug assertions are enabled.
 pub fn report_violation<E>(name: &'static str, evidence: E)
 where
     E: Display,
@@ -36,7 +36,7 @@
     debug_assert!(false, "invariant {name} violated: {evidence}");
 }
 
-/// How often each invariant was found violated in this process, in order of the first time.
+/// Number of violations per invariant in this process, ordered by first occurrence.
 pub fn violations() -> IndexMap<&'static str, u64> {
     let guard = VIOLATIONS.lock().unwrap_or_else(PoisonError::into_inner);
     guard.clone().unwrap_or_default()
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! fescueshore: a router for language-model pipelines over mixed accelerators.
 //!
-//! Slices by duty; each has its own state, messages and tests. Decisions do no I/O: a state
-//! machine takes a message and the present time and returns effects, and a thin driver carries
-//! them out. [`instance`] shows every message and effect of one instance.
+//! Each module covers one responsibility and has its own state, messages and tests. Decision logic
+//! does no I/O: a state machine takes a message and the current time and returns effects, and a
+//! thin driver executes them. [`instance`] defines every message and effect of one instance.
 
 pub mod admission;
 mod audit;
--- a/src/outcome.rs
+++ b/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Final outcomes of a request and the reasons for refusing one.
+//! Final outcomes of requests and refusal codes.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,23 +8,23 @@
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 /// Request header that carries the idempotency key.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// Request header with the time, in milliseconds, after which the caller has no use for an answer.
+/// Request header with the time, in milliseconds, after which the caller no longer needs an answer.
 pub const DEADLINE_HEADER: &str = "x-fescue-deadline-ms";
 
-/// What is true of a request when the system has spoken its final word.
+/// Final state of a request, as reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
     /// The answer is complete.
     Done,
-    /// The request ran nowhere and will not run under this attempt.
+    /// The request did not run anywhere and will not run under this attempt.
     NotRun,
-    /// The request was dispatched and its result is not known.
+    /// The request was dispatched and its result is unknown.
     Unknown,
 }
 
 impl Outcome {
-    /// Returns the value carried by [`OUTCOME_HEADER`].
+    /// The value of [`OUTCOME_HEADER`].
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Done => "done",
@@ -34,7 +34,7 @@
     }
 }
 
-/// Why a request was refused or given up on. The code is part of the public API.
+/// Why a request was refused or abandoned. The code is part of the public API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
@@ -48,19 +48,19 @@
     UnknownModel,
     /// The body is larger than the limit.
     BodyTooLarge,
-    /// The body is not what the API asks for.
+    /// The body does not match the API's schema.
     MalformedBody,
     /// A required header is missing.
     MissingHeader,
-    /// A header has a value that cannot be used.
+    /// A header has an invalid value.
     BadHeader,
-    /// The same idempotency key was used with another body.
+    /// The idempotency key was already used with a different body.
     KeyReused,
-    /// The idempotency key is older than the system remembers keys.
+    /// The idempotency key is older than the key retention period.
     KeyTooOld,
-    /// The same key is being worked on, or was dispatched and its result is not known.
+    /// A request with the same key is in progress, or was dispatched with an unknown result.
     ResultUnknown,
-    /// The account has used its share and its queue is full.
+    /// The account's queue is full, or its wait would exceed the limit.
     AccountOverloaded,
     /// The service has no capacity left before the deadline.
     Overloaded,
@@ -68,18 +68,18 @@
     DeadlineTooShort,
     /// No endpoint can serve the request now.
     NoEndpoint,
-    /// The table service cannot be reached, and the request needs it.
+    /// The request needs the table service, which is unreachable.
     StoreUnavailable,
     /// The endpoint refused the request or failed before it ran.
     EndpointFailed,
-    /// The instance is stopping; other addresses serve the request.
+    /// The instance is stopping; the caller should use another address.
     Stopping,
     /// The instance has no document in force yet.
     NotReady,
 }
 
 impl RefusalCode {
-    /// Returns the code as callers see it.
+    /// The code as sent to callers.
     pub fn name(self) -> String {
         match serde_json::to_value(self) {
             Ok(serde_json::Value::String(name)) => name,
@@ -88,19 +88,19 @@
     }
 }
 
-/// A final word other than an answer.
+/// A final response other than an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub code: RefusalCode,
     /// `NotRun` or `Unknown`, never `Done`.
     pub outcome: Outcome,
-    /// When the caller should come back, in milliseconds; `None` if coming back cannot help.
+    /// Delay before the caller should retry, in milliseconds; `None` if a retry cannot help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request that ran nowhere.
+    /// A refusal of a request that did not run anywhere.
     pub fn not_run(code: RefusalCode, retry_after_ms: Option<u64>) -> Self {
         Self {
             code,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A final word on a request that was dispatched and whose result is not known.
+    /// A refusal of a request that was dispatched and whose result is unknown.
     pub fn unknown(code: RefusalCode, retry_after_ms: Option<u64>) -> Self {
         Self {
             code,
