--- a/src/fairness/mod.rs
+++ b/src/fairness/mod.rs
@@ -1,4 +1,4 @@
-//! Fair shares: weighted max-min, worked out alike on every node.
+//! Weighted max-min fair shares, computed deterministically so that all nodes agree.
 
 mod max_min;
 mod parts;
@@ -7,5 +7,5 @@
 mod tests;
 
 pub use max_min::{ShareClaim, max_min};
-pub use parts::{EntryPieces, PIECES, entry_pieces};
-pub use split::{EntryDemand, EntryShare, split_shares};
+pub use parts::{EntryPieces, PIECE_COUNT, assign_entry_pieces};
+pub use split::{EntryDemand, EntryShare, divide_capacity};
--- a/src/fleet/lifetime_tests.rs
+++ b/src/fleet/lifetime_tests.rs
@@ -237,7 +237,7 @@
             }
             prop_assert!(fleet.iter().count() <= 1);
             for known in fleet.iter() {
-                let started_ms = known.id().born_unix_ms().expect("the id contains the start time");
+                let started_ms = known.id().started_unix_ms().expect("the id contains the start time");
                 prop_assert_eq!(started_ms, newest_listed_ms);
                 prop_assert!(!fleet.ended.contains_key(known.id()));
                 if !touched.contains(&started_ms) {
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -376,7 +376,7 @@
         let name = started.name();
         let known = self.lifetimes.get(&name).map(|it| it.id.clone());
         if let Some(known) = &known
-            && known.born_unix_ms() > started.born_unix_ms()
+            && known.started_unix_ms() > started.started_unix_ms()
         {
             return false;
         }
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::ids::{EndpointId, ServiceName};
-use crate::route_table::Repeat;
+use crate::route_table::RepeatPolicy;
 
 const SHARE: BudgetShare = BudgetShare {
     ratio: 0.2,
@@ -11,12 +11,12 @@
     instances: 2,
 };
 
-fn any_repeat() -> impl Strategy<Value = Repeat> {
+fn any_repeat() -> impl Strategy<Value = RepeatPolicy> {
     prop_oneof![
-        Just(Repeat::Idempotent),
-        Just(Repeat::NonIdempotent),
-        Just(Repeat::Stream { resumable: true }),
-        Just(Repeat::Stream { resumable: false }),
+        Just(RepeatPolicy::Idempotent),
+        Just(RepeatPolicy::NonIdempotent),
+        Just(RepeatPolicy::Stream { resumable: true }),
+        Just(RepeatPolicy::Stream { resumable: false }),
     ]
 }
 
@@ -43,7 +43,7 @@
             may_have_run |= !matches!(end, AttemptOutcome::NotSent | AttemptOutcome::TurnedAway);
             match attempts.attempt_ended(end, || has_budget) {
                 NextStep::Retry | NextStep::Resume => {
-                    prop_assert!(!may_have_run || repeat.may_run_again());
+                    prop_assert!(!may_have_run || repeat.allows_rerun());
                 }
                 NextStep::ForwardFailure(_) => {
                     prop_assert_eq!(end, AttemptOutcome::Failed);
@@ -127,7 +127,7 @@
 // their time left.
 #[test]
 fn partial_response_survives_a_rejected_retry() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let lost = attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -141,7 +141,7 @@
 
 #[test]
 fn partial_response_survives_an_exhausted_budget() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || false);
@@ -150,7 +150,7 @@
 
 #[test]
 fn partial_response_that_cannot_resume_ends_with_its_run() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: false }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -163,7 +163,7 @@
 
 #[test]
 fn request_without_response_is_refused_when_the_budget_is_exhausted() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     let next = attempts.attempt_ended(AttemptOutcome::TurnedAway, || false);
     let end = RelayFailure {
@@ -175,7 +175,7 @@
 
 #[test]
 fn partial_response_takes_its_retry_when_sending() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || {
@@ -187,13 +187,13 @@
 #[test]
 fn partial_response_may_return_to_an_endpoint_that_was_full() {
     let (first, full) = (EndpointId::from("first"), EndpointId::from("full"));
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.exclude_after(&full, AttemptOutcome::TurnedAway);
     assert!(
         attempts.excluded().contains(&full),
         "no response has started"
     );
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.response_started();
     attempts.exclude_after(&first, AttemptOutcome::Lost);
     attempts.exclude_after(&full, AttemptOutcome::TurnedAway);
@@ -202,7 +202,7 @@
 
 #[test]
 fn partial_response_ends_after_the_maximum_number_of_runs() {
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.response_started();
     let mut runs = 0;
     let last = loop {
@@ -331,7 +331,7 @@
 #[test]
 fn silent_run_is_kept_when_no_other_may_follow() {
     let (first, second) = (EndpointId::from("first"), EndpointId::from("second"));
-    let mut attempts = Attempts::new(Repeat::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&first);
     attempts.response_started();
     attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -340,7 +340,7 @@
     let lost = attempts.after_losing(&second).expect("it may run again");
     let restricted_to = lost.restricted_to().expect("it has run on two");
     assert!(restricted_to.iter().all(|it| lost.excluded().contains(it)));
-    let mut bound = Attempts::new(Repeat::Stream { resumable: false }, 2);
+    let mut bound = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
     bound.send_started(&first);
     assert!(
         bound.after_losing(&first).is_none(),
--- a/src/routing/slot_limit.rs
+++ b/src/routing/slot_limit.rs
@@ -4,7 +4,7 @@
 //! more. Each entry owns a part of the slots, allocated so that the parts add up ([`entry_part`]).
 //! Slots that stay free over several reports are lent, a part of them to each entry.
 
-use crate::fairness::PIECES;
+use crate::fairness::PIECE_COUNT;
 use crate::ids::ServiceName;
 use crate::wire::local::EntryPart;
 
@@ -118,12 +118,12 @@
 /// Returns the piece that contains a slot. Consecutive slots lie far apart, so that each range of
 /// pieces gets roughly its part of any few consecutive slots.
 fn piece_of(slot: u64) -> u32 {
-    /// Close to [`PIECES`] divided by the golden ratio, and odd, so that every piece is reached. Of
+    /// Close to [`PIECE_COUNT`] divided by the golden ratio, and odd, so that every piece is reached. Of
     /// the nearby steps, this one distributes slots most evenly: over all ranges and starts, a
     /// range is at most 3.1 slots off its part of any 199 consecutive slots. The nearest step, 633,
     /// is up to 4.6 slots off.
     const PIECE_STEP: u64 = 635;
-    (slot * PIECE_STEP % u64::from(PIECES)) as u32
+    (slot * PIECE_STEP % u64::from(PIECE_COUNT)) as u32
 }
 
 /// The slots that this entry owns in each service.
--- a/src/routing/tests/fixture.rs
+++ b/src/routing/tests/fixture.rs
@@ -47,7 +47,7 @@
                 &id,
                 &kind,
                 layers,
-                Incarnation::draw(&mut rng),
+                Incarnation::generate(&mut rng),
             ));
         }
         let model = fleet::model(LAYERS, 1_000);
@@ -75,7 +75,7 @@
     }
 
     pub(super) fn stream(&mut self) -> StreamId {
-        StreamId::draw(&mut self.rng)
+        StreamId::generate(&mut self.rng)
     }
 
     pub(super) fn plan(&mut self, now_ms: u64) -> Result<Vec<Stage>, NoRoute> {
--- a/src/routing/tests/plans.rs
+++ b/src/routing/tests/plans.rs
@@ -122,7 +122,7 @@
             .observe_fault(&faulty, EndpointFault::Slow, now_ms * 20_000);
     }
     let mut rng = <rand::rngs::SmallRng as rand::SeedableRng>::seed_from_u64(1);
-    fixture.states[0].incarnation = Incarnation::draw(&mut rng);
+    fixture.states[0].incarnation = Incarnation::generate(&mut rng);
     fixture.update_router(80_100);
     let chains = std::iter::from_fn(|| fixture.plan(80_100).ok()).take(100);
     assert!(
