--- a/src/clients/instances.rs
+++ b/src/clients/instances.rs
@@ -41,7 +41,7 @@
 
     /// Names the reader in each request, as some platforms ask. `reader` is a name as settings
     /// have it and needs no escaping.
-    pub fn read_as(self, reader: &str) -> Self {
+    pub fn with_reader(self, reader: &str) -> Self {
         let path = format!("{LIST_PATH}?reader={reader}");
         Self { path, ..self }
     }
--- a/src/control_server/platform.rs
+++ b/src/control_server/platform.rs
@@ -32,7 +32,7 @@
         Self {
             table: HttpTable::new(&settings.platform.table_url),
             instances: HttpInstances::new(&settings.platform.instances_url)
-                .read_as(settings.instance.name.as_str()),
+                .with_reader(settings.instance.name.as_str()),
             engines: HttpEngines::new(),
             traffic,
         }
