--- a/src/clients/engine.rs
+++ b/src/clients/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines.
+//! Client for model engines.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -13,21 +13,22 @@
     CacheEvents, CancelStream, EngineError, EngineOrder, EngineState, OpenStream, StreamProgress,
 };
 
-const REPLY_LIMIT_BYTES: usize = 4 << 20;
-/// Longest body of an error, and how long to wait for it behind its head.
-const ERROR_LIMIT_BYTES: usize = 64 << 10;
-const ERROR_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_REPLY_BYTES: usize = 4 << 20;
+/// Largest body of an error response that is read.
+const MAX_ERROR_BYTES: usize = 64 << 10;
+/// Time to wait for the body of an error response after its head.
+const ERROR_BODY_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Calls of a model engine that end with one reply.
+/// Unary calls to a model engine: one request, one reply.
 pub trait EngineApi {
-    /// Asks what the engine holds.
+    /// Fetches the engine's state.
     fn state(
         &self,
         address: SocketAddr,
         timeout_ms: u64,
     ) -> impl Future<Output = Result<EngineState, EngineCallFailure>>;
 
-    /// Asks for cache events after a number.
+    /// Fetches the cache events that follow sequence number `after`.
     fn cache_events(
         &self,
         address: SocketAddr,
@@ -35,7 +36,8 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<CacheEvents, EngineCallFailure>>;
 
-    /// Asks how far a stream is, on a fresh connection; `None` if the engine does not know it.
+    /// Fetches the progress of a stream over a new connection, so that a stale pooled connection
+    /// cannot be mistaken for a dead engine. `None` if the engine does not know the stream.
     fn progress(
         &self,
         address: SocketAddr,
@@ -43,7 +45,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<Option<StreamProgress>, EngineCallFailure>>;
 
-    /// Cancels a stream up to and including an epoch.
+    /// Cancels a stream for all epochs up to and including `epoch`.
     fn cancel(
         &self,
         address: SocketAddr,
@@ -52,7 +54,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<(), EngineCallFailure>>;
 
-    /// Sends an order; returns what the engine holds then.
+    /// Sends an order and returns the engine's resulting state.
     fn order(
         &self,
         address: SocketAddr,
@@ -61,19 +63,19 @@
     ) -> impl Future<Output = Result<EngineState, EngineCallFailure>>;
 }
 
-/// Engines over HTTP.
+/// [`EngineApi`] over HTTP.
 #[derive(Default)]
 pub struct HttpEngines {
     peers: HttpPeers,
 }
 
 impl HttpEngines {
-    /// No engine is known until it is called.
+    /// Creates a client without connections; they are opened on the first call to an engine.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Forgets the connections to engines for which `keep` is false.
+    /// Drops the connection pools of engines for which `keep` returns false.
     pub fn retain<F>(&self, keep: F)
     where
         F: FnMut(SocketAddr) -> bool,
@@ -81,7 +83,8 @@
         self.peers.retain(keep);
     }
 
-    /// Opens a stream and waits for the head of the reply, without timeout.
+    /// Opens a stream and waits for the response head. Has no timeout: the caller watches for
+    /// progress. `fresh_connection` discards the pooled connections first.
     pub(crate) async fn open(
         &self,
         address: SocketAddr,
@@ -97,10 +100,10 @@
         if stream.status().is_success() {
             return Ok(stream);
         }
-        let body = stream.body().limit(ERROR_LIMIT_BYTES);
-        let body = tokio::time::timeout(ERROR_TIMEOUT, body).await;
+        let body = stream.body().limit(MAX_ERROR_BYTES);
+        let body = tokio::time::timeout(ERROR_BODY_TIMEOUT, body).await;
         match body {
-            Ok(Ok(body)) => Err(read_refusal(&body)),
+            Ok(Ok(body)) => Err(parse_error(&body)),
             _ => Err(EngineCallFailure::ReplyLost),
         }
     }
@@ -114,8 +117,8 @@
     ) -> Result<EngineState, EngineCallFailure> {
         let call = HttpCall::get("/v1/state");
         let peer = self.peers.at(address);
-        let reply = peer.call(call, timeout_ms, REPLY_LIMIT_BYTES).await?;
-        read_reply(&reply)
+        let reply = peer.call(call, timeout_ms, MAX_REPLY_BYTES).await?;
+        parse_reply(&reply)
     }
 
     async fn cache_events(
@@ -127,8 +130,8 @@
         let path = format!("/v1/cache-events?after={after}");
         let call = HttpCall::get(&path);
         let peer = self.peers.at(address);
-        let reply = peer.call(call, timeout_ms, REPLY_LIMIT_BYTES).await?;
-        read_reply(&reply)
+        let reply = peer.call(call, timeout_ms, MAX_REPLY_BYTES).await?;
+        parse_reply(&reply)
     }
 
     async fn progress(
@@ -140,11 +143,11 @@
         let path = format!("/v1/streams/{stream}");
         let call = HttpCall::get(&path);
         let peer = HttpPeer::new(&format!("http://{address}"));
-        let reply = peer.call(call, timeout_ms, REPLY_LIMIT_BYTES).await?;
+        let reply = peer.call(call, timeout_ms, MAX_REPLY_BYTES).await?;
         if reply.status == 404 {
             return Ok(None);
         }
-        read_reply(&reply).map(Some)
+        parse_reply(&reply).map(Some)
     }
 
     async fn cancel(
@@ -157,7 +160,7 @@
         let path = format!("/v1/streams/{stream}/cancel");
         let call = HttpCall::post_json(&path, &CancelStream { epoch })?;
         let peer = self.peers.at(address);
-        peer.call(call, timeout_ms, REPLY_LIMIT_BYTES).await?;
+        peer.call(call, timeout_ms, MAX_REPLY_BYTES).await?;
         Ok(())
     }
 
@@ -169,23 +172,24 @@
     ) -> Result<EngineState, EngineCallFailure> {
         let call = HttpCall::post_json("/v1/orders", order)?;
         let peer = self.peers.at(address);
-        let reply = peer.call(call, timeout_ms, REPLY_LIMIT_BYTES).await?;
-        read_reply(&reply)
+        let reply = peer.call(call, timeout_ms, MAX_REPLY_BYTES).await?;
+        parse_reply(&reply)
     }
 }
 
-fn read_reply<T>(reply: &HttpReply) -> Result<T, EngineCallFailure>
+fn parse_reply<T>(reply: &HttpReply) -> Result<T, EngineCallFailure>
 where
     T: DeserializeOwned,
 {
     match reply.status {
         200..=299 => serde_json::from_slice(&reply.body).map_err(|_| EngineCallFailure::ReplyLost),
-        _ => Err(read_refusal(&reply.body)),
+        _ => Err(parse_error(&reply.body)),
     }
 }
 
-/// Reads an engine's error reply. One that cannot be read proves nothing about what the engine did.
-fn read_refusal(body: &[u8]) -> EngineCallFailure {
+/// Parses an engine's error response. An unreadable one does not tell whether the call took
+/// effect, so it counts as a lost reply.
+fn parse_error(body: &[u8]) -> EngineCallFailure {
     match serde_json::from_slice::<EngineError>(body) {
         Ok(error) => EngineCallFailure::Refused { error },
         Err(_) => EngineCallFailure::ReplyLost,
--- a/src/clients/http.rs
+++ b/src/clients/http.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to one peer, with the truth about what may have left.
+//! HTTP client for a single peer. Failures tell whether any part of the request may have been sent.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,40 +17,41 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Longest time to wait for a connection. Past it nothing was sent.
+/// Time to wait for a connection. A request that hits this timeout has not been sent.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Idle connections older than this are not used again: shorter than the usual keep-alive of a
-/// server, so that a request seldom meets a connection that is just being closed.
-const IDLE_CONNECTION_MS: u64 = 3_000;
+/// Idle connections older than this are not reused. Shorter than the usual keep-alive timeout of a
+/// server, so that a request is rarely sent on a connection that the server is closing.
+const IDLE_CONNECTION_TTL_MS: u64 = 3_000;
 
-/// Why an HTTP call has no whole reply.
+/// Why an HTTP call got no complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HttpFailure {
-    /// No byte of the request left.
-    #[error("no connection could be made")]
+    /// No part of the request was sent.
+    #[error("cannot connect")]
     NotSent,
-    /// No byte of the request left: the peer's host says that no process listens there.
-    #[error("no process listens at the address")]
+    /// The connection was refused: no process listens at the address, and no part of the request
+    /// was sent.
+    #[error("connection refused: no process listens at the address")]
     NoListener,
-    /// Bytes may have left, and no whole reply came.
-    #[error("no whole reply came")]
+    /// Part of the request may have been sent, and no complete response arrived.
+    #[error("no complete response received")]
     ReplyLost,
 }
 
-/// One request.
+/// An HTTP request.
 pub struct HttpCall<'a> {
-    /// Method.
+    /// Request method.
     pub method: Method,
-    /// Path and query; begins with a slash.
+    /// Path and query, starting with a slash.
     pub path: &'a str,
-    /// Headers.
+    /// Headers in addition to those that the client sets, such as `Host`.
     pub headers: Vec<(HeaderName, &'a str)>,
-    /// Body.
+    /// Request body; empty for none.
     pub body: Bytes,
 }
 
 impl<'a> HttpCall<'a> {
-    /// A request without body.
+    /// Creates a GET request without a body.
     pub fn get(path: &'a str) -> Self {
         Self {
             method: Method::GET,
@@ -60,7 +61,8 @@
         }
     }
 
-    /// A request with a JSON body; `NotSent` if the value cannot be written as JSON.
+    /// Creates a POST request with a JSON body. Fails with `NotSent` if the value cannot be
+    /// serialized.
     pub fn post_json<T>(path: &'a str, value: &T) -> Result<Self, HttpFailure>
     where
         T: Serialize,
@@ -75,33 +77,33 @@
     }
 }
 
-/// A whole reply.
+/// A complete HTTP response.
 #[derive(Debug)]
 pub struct HttpReply {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// `Content-Type`, if any.
+    /// Value of the `Content-Type` header.
     pub content_type: Option<String>,
-    /// `ETag`, if any.
-    pub tag: Option<String>,
-    /// Body.
+    /// Value of the `ETag` header.
+    pub etag: Option<String>,
+    /// Response body.
     pub body: Bytes,
 }
 
-/// The head of a reply whose body is read piece by piece.
+/// A response whose body has not been read yet.
 pub(crate) type HttpStream = ClientResponse;
 
-/// A peer at one address and the pooled connections to it.
+/// A peer at one address and its connection pool.
 pub struct HttpPeer {
     base: String,
     client: RefCell<Client>,
-    /// Grows each time the connections are thrown away, so that calls that fail together throw
-    /// away only the connections they ran on.
+    /// Incremented whenever the pool is discarded, so that calls that fail at the same time only
+    /// discard the pool that they used.
     generation: Cell<u64>,
 }
 
 impl HttpPeer {
-    /// A peer under a base URL such as `http://127.0.0.1:7100`.
+    /// Creates a client for a base URL such as `http://127.0.0.1:7100`.
     pub fn new(base_url: &str) -> Self {
         Self {
             base: base_url.trim_end_matches('/').to_owned(),
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Throws the pooled connections away; calls under way keep theirs.
+    /// Discards the pooled connections. Calls in progress keep theirs.
     pub fn discard_connections(&self) {
         self.generation.set(self.generation.get() + 1);
         self.client.replace(new_client());
@@ -121,21 +123,23 @@
         self.generation.get()
     }
 
-    /// Calls and waits for the whole reply.
+    /// Sends a request and waits for the complete response, whose body may have at most
+    /// `max_bytes`.
     pub async fn call(
         &self,
         call: HttpCall<'_>,
         timeout_ms: u64,
-        limit_bytes: usize,
+        max_bytes: usize,
     ) -> Result<HttpReply, HttpFailure> {
         let exchange = async {
             let response = self.send(call).await?;
-            read_whole(response, limit_bytes).await
+            read_reply(response, max_bytes).await
         };
-        self.within(timeout_ms, exchange).await
+        self.with_timeout(timeout_ms, exchange).await
     }
 
-    /// Calls and waits for the head of the reply. Without timeout: the caller watches progress.
+    /// Sends a request and waits for the response head. Has no timeout: the caller watches for
+    /// progress.
     pub(crate) async fn open(&self, call: HttpCall<'_>) -> Result<HttpStream, HttpFailure> {
         let generation = self.generation.get();
         let result = self.send(call).await;
@@ -145,13 +149,14 @@
         result
     }
 
-    async fn within<T, F>(&self, timeout_ms: u64, exchange: F) -> Result<T, HttpFailure>
+    /// Runs an exchange with a timeout, and discards the connection pool if it fails.
+    async fn with_timeout<T, F>(&self, timeout_ms: u64, exchange: F) -> Result<T, HttpFailure>
     where
         F: Future<Output = Result<T, HttpFailure>>,
     {
         let generation = self.generation.get();
-        let limit = Duration::from_millis(timeout_ms);
-        let result = tokio::time::timeout(limit, exchange)
+        let timeout = Duration::from_millis(timeout_ms);
+        let result = tokio::time::timeout(timeout, exchange)
             .await
             .unwrap_or(Err(HttpFailure::ReplyLost));
         if result.is_err() {
@@ -160,7 +165,7 @@
         result
     }
 
-    /// Throws the connections away unless a call that failed before has done so.
+    /// Discards the connection pool unless another failed call has already replaced it.
     pub(super) fn discard_generation(&self, generation: u64) {
         if self.generation.get() == generation {
             self.discard_connections();
@@ -184,14 +189,14 @@
     }
 }
 
-/// Peers by address, made when first used.
+/// Clients by peer address, created on first use.
 #[derive(Default)]
 pub struct HttpPeers {
     peers: RefCell<IndexMap<SocketAddr, Rc<HttpPeer>>>,
 }
 
 impl HttpPeers {
-    /// Returns the peer at an address.
+    /// Returns the client for an address, creating it if needed.
     pub fn at(&self, address: SocketAddr) -> Rc<HttpPeer> {
         let mut peers = self.peers.borrow_mut();
         let peer = peers
@@ -200,7 +205,7 @@
         Rc::clone(peer)
     }
 
-    /// Forgets the peers for which `keep` is false.
+    /// Drops the clients for which `keep` returns false.
     pub fn retain<F>(&self, mut keep: F)
     where
         F: FnMut(SocketAddr) -> bool,
@@ -212,7 +217,7 @@
 fn new_client() -> Client {
     let connector = Connector::new()
         .timeout(Duration::from_millis(CONNECT_TIMEOUT_MS))
-        .conn_keep_alive(Duration::from_millis(IDLE_CONNECTION_MS))
+        .conn_keep_alive(Duration::from_millis(IDLE_CONNECTION_TTL_MS))
         .limit(0);
     Client::builder()
         .connector(connector)
@@ -222,8 +227,9 @@
         .finish()
 }
 
-/// Tells what may have left. The client library says `Disconnected` when a connection closes
-/// before the head of the reply has come, which is after the request was written.
+/// Maps a client error to whether the request may have been sent. The client library reports
+/// `Disconnected` when a connection closes before the response head arrives, which is after the
+/// request was written.
 fn classify(error: &SendRequestError) -> HttpFailure {
     match error {
         SendRequestError::Url(_) => HttpFailure::NotSent,
@@ -240,22 +246,19 @@
     }
 }
 
-async fn read_whole(
-    mut response: HttpStream,
-    limit_bytes: usize,
-) -> Result<HttpReply, HttpFailure> {
+async fn read_reply(mut response: HttpStream, max_bytes: usize) -> Result<HttpReply, HttpFailure> {
     let mut body = BytesMut::new();
-    while let Some(piece) = response.next().await {
-        let piece = piece.map_err(|_| HttpFailure::ReplyLost)?;
-        if body.len() + piece.len() > limit_bytes {
+    while let Some(chunk) = response.next().await {
+        let chunk = chunk.map_err(|_| HttpFailure::ReplyLost)?;
+        if body.len() + chunk.len() > max_bytes {
             return Err(HttpFailure::ReplyLost);
         }
-        body.extend_from_slice(&piece);
+        body.extend_from_slice(&chunk);
     }
     Ok(HttpReply {
         status: response.status().as_u16(),
         content_type: header(&response, &CONTENT_TYPE),
-        tag: header(&response, &ETAG),
+        etag: header(&response, &ETAG),
         body: body.freeze(),
     })
 }
--- a/src/clients/instances.rs
+++ b/src/clients/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's instance list.
+//! Client for the platform's instance list.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -10,37 +10,38 @@
 use crate::wire::platform::InstanceList;
 
 const LIST_PATH: &str = "/v1/instances";
-const REPLY_LIMIT_BYTES: usize = 16 << 20;
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// The platform's list of live and leaving instances; it lags.
+/// The platform's list of live and leaving instances. The list is eventually consistent: it may
+/// lag behind the actual state.
 pub trait InstanceSource {
-    /// Reads the list; `None` if it is as it was when this reader last got it.
+    /// Reads the list; `None` if it has not changed since the last read by this client.
     fn list(
         &self,
         timeout_ms: u64,
     ) -> impl Future<Output = Result<Option<InstanceList>, InstanceListFailure>>;
 }
 
-/// The instance list over HTTP.
+/// [`InstanceSource`] over HTTP.
 pub struct HttpInstances {
     peer: HttpPeer,
     path: String,
-    /// Entity tag of the list that was last read.
-    tag: RefCell<Option<String>>,
+    /// Entity tag of the most recently read list.
+    etag: RefCell<Option<String>>,
 }
 
 impl HttpInstances {
-    /// The list under a base URL.
+    /// Creates a client for a base URL.
     pub fn new(base_url: &str) -> Self {
         Self {
             peer: HttpPeer::new(base_url),
             path: LIST_PATH.to_owned(),
-            tag: RefCell::new(None),
+            etag: RefCell::new(None),
         }
     }
 
-    /// Names the reader in each request, as some platforms ask. `reader` is a name as settings
-    /// have it and needs no escaping.
+    /// Adds the reader's name to each request, as some platforms require. `reader` is an instance
+    /// name from the settings and needs no URL escaping.
     pub fn with_reader(self, reader: &str) -> Self {
         let path = format!("{LIST_PATH}?reader={reader}");
         Self { path, ..self }
@@ -49,23 +50,23 @@
 
 impl InstanceSource for HttpInstances {
     async fn list(&self, timeout_ms: u64) -> Result<Option<InstanceList>, InstanceListFailure> {
-        let known = self.tag.borrow().clone();
+        let known_etag = self.etag.borrow().clone();
         let mut call = HttpCall::get(&self.path);
         call.headers
-            .extend(known.iter().map(|tag| (IF_NONE_MATCH, tag.as_str())));
+            .extend(known_etag.iter().map(|etag| (IF_NONE_MATCH, etag.as_str())));
         let reply = self
             .peer
-            .call(call, timeout_ms, REPLY_LIMIT_BYTES)
+            .call(call, timeout_ms, MAX_REPLY_BYTES)
             .await
             .map_err(|_| InstanceListFailure::NoReply)?;
         match reply.status {
             200 => {
                 let list = serde_json::from_slice(&reply.body);
                 let list = list.map_err(|_| InstanceListFailure::Malformed)?;
-                self.tag.replace(reply.tag);
+                self.etag.replace(reply.etag);
                 Ok(Some(list))
             }
-            304 if known.is_some() => Ok(None),
+            304 if known_etag.is_some() => Ok(None),
             _ => Err(InstanceListFailure::NoReply),
         }
     }
--- a/src/clients/mod.rs
+++ b/src/clients/mod.rs
@@ -1,8 +1,10 @@
-//! Interfaces to the platform and the engines, and their HTTP adapters. Another platform is
-//! another adapter; no decision changes.
+//! Interfaces to the platform services and the model engines, and their HTTP implementations.
+//! Supporting another platform means implementing these traits; routing and placement logic does
+//! not change.
 //!
-//! An adapter belongs to the thread that made it. Each call has a timeout, after which the pooled
-//! connections to that peer are thrown away, since open connections can go silent for good.
+//! A client is bound to the thread that created it. Every call has a timeout, except those that
+//! open a stream. A call that fails or times out discards the pooled connections to that peer,
+//! because an established connection can stop delivering data without being closed.
 
 mod engine;
 mod failure;
--- a/src/clients/objects.rs
+++ b/src/clients/objects.rs
@@ -1,4 +1,4 @@
-//! The object store.
+//! Client for the platform's object store.
 
 use std::future::Future;
 
@@ -8,9 +8,9 @@
 use super::ObjectFailure;
 use super::http::{HttpCall, HttpPeer, HttpReply};
 
-const OBJECT_LIMIT_BYTES: usize = 64 << 20;
+const MAX_OBJECT_BYTES: usize = 64 << 20;
 
-/// The platform's object store. Keys are slash-separated and need no escaping in a URL.
+/// The platform's object store. Keys are slash-separated paths that need no URL escaping.
 pub trait ObjectStore {
     /// Creates or replaces an object.
     fn put(
@@ -20,7 +20,7 @@
         timeout_ms: u64,
     ) -> impl Future<Output = Result<(), ObjectFailure>>;
 
-    /// Reads an object; `None` if there is none.
+    /// Reads an object; `None` if it does not exist.
     fn get(
         &self,
         key: &str,
@@ -31,7 +31,7 @@
     fn delete(&self, key: &str, timeout_ms: u64)
     -> impl Future<Output = Result<(), ObjectFailure>>;
 
-    /// Lists the keys with a common start.
+    /// Lists the keys that start with `prefix`.
     fn list(
         &self,
         prefix: &str,
@@ -39,13 +39,13 @@
     ) -> impl Future<Output = Result<Vec<String>, ObjectFailure>>;
 }
 
-/// The object store over HTTP.
+/// [`ObjectStore`] over HTTP.
 pub struct HttpObjects {
     peer: HttpPeer,
 }
 
 impl HttpObjects {
-    /// The store under a base URL.
+    /// Creates a client for a base URL.
     pub fn new(base_url: &str) -> Self {
         Self {
             peer: HttpPeer::new(base_url),
@@ -65,7 +65,7 @@
             headers: Vec::new(),
             body,
         };
-        let reply = self.peer.call(call, timeout_ms, OBJECT_LIMIT_BYTES).await?;
+        let reply = self.peer.call(call, timeout_ms, MAX_OBJECT_BYTES).await?;
         match reply.status {
             200..=299 | 404 => Ok(reply),
             429 | 503 => Err(ObjectFailure::Throttled),
--- a/src/clients/tests.rs
+++ b/src/clients/tests.rs
@@ -15,23 +15,24 @@
 
 const TIMEOUT_MS: u64 = 300;
 
-/// Serves one status and body at every path.
+/// Starts a server that responds to every path with the same status and body.
 fn serve(status: u16, body: &'static str) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let server = HttpServer::new(move || {
-        let answer = move |_: Bytes| async move {
+        let respond = move |_: Bytes| async move {
             let status = StatusCode::from_u16(status).unwrap();
             HttpResponse::build(status).body(body)
         };
-        App::new().default_service(web::to(answer))
+        App::new().default_service(web::to(respond))
     });
     actix_rt::spawn(server.workers(1).listen(listener).unwrap().run());
     address
 }
 
-/// Reads a request and then does with the connection what `then` does.
-fn accept<F, R>(then: F) -> SocketAddr
+/// Starts a server that reads one request from each connection and then hands the connection and
+/// its index to `handle`.
+fn serve_raw<F, R>(handle: F) -> SocketAddr
 where
     F: Fn(usize, TcpStream) -> R + 'static,
     R: Future<Output = io::Result<()>> + 'static,
@@ -41,12 +42,12 @@
     let address = listener.local_addr().unwrap();
     let listener = tokio::net::TcpListener::from_std(listener).unwrap();
     actix_rt::spawn(async move {
-        let mut number = 0;
+        let mut index = 0;
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut head = [0; 1_024];
             let _ = stream.read(&mut head).await;
-            actix_rt::spawn(then(number, stream));
-            number += 1;
+            actix_rt::spawn(handle(index, stream));
+            index += 1;
         }
     });
     address
@@ -56,14 +57,14 @@
     Ok(())
 }
 
-async fn stay_silent(_: usize, stream: TcpStream) -> io::Result<()> {
-    let _kept = stream;
+async fn never_respond(_: usize, stream: TcpStream) -> io::Result<()> {
+    let _open_stream = stream;
     std::future::pending().await
 }
 
-/// Answers whole on connections after the first; on the first, a head and half a body.
-async fn cut_the_first(number: usize, mut stream: TcpStream) -> io::Result<()> {
-    let body: &[u8] = if number == 0 {
+/// Sends a truncated body on the first connection and a complete response on later ones.
+async fn truncate_first_response(index: usize, mut stream: TcpStream) -> io::Result<()> {
+    let body: &[u8] = if index == 0 {
         b"{\"ro"
     } else {
         b"{\"rows\":[]}"
@@ -74,7 +75,8 @@
     stream.write_all(body).await
 }
 
-fn refusing() -> SocketAddr {
+/// An address that refuses connections.
+fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     listener.local_addr().unwrap()
 }
@@ -110,7 +112,7 @@
 }
 
 #[actix_web::test]
-async fn a_committed_transaction_is_read() {
+async fn a_committed_transaction_is_parsed() {
     let address = serve(200, r#"{"result":"committed","version":7,"more":1}"#);
     let reply = transact(address).await;
     assert_eq!(reply, Ok(TransactReply::Committed { version: 7 }));
@@ -118,23 +120,23 @@
 
 #[actix_web::test]
 async fn a_refused_connection_sent_nothing() {
-    assert_eq!(transact(refusing()).await, Err(TableFailure::NotSent));
+    assert_eq!(transact(unused_address()).await, Err(TableFailure::NotSent));
 }
 
 #[actix_web::test]
 async fn a_connection_closed_after_the_request_loses_the_reply() {
-    let failure = transact(accept(close)).await;
+    let failure = transact(serve_raw(close)).await;
     assert_eq!(failure, Err(TableFailure::ReplyLost));
 }
 
 #[actix_web::test]
-async fn silence_loses_the_reply() {
-    let failure = transact(accept(stay_silent)).await;
+async fn a_server_that_never_responds_loses_the_reply() {
+    let failure = transact(serve_raw(never_respond)).await;
     assert_eq!(failure, Err(TableFailure::ReplyLost));
 }
 
 #[actix_web::test]
-async fn limits_and_outages_apply_nothing() {
+async fn statuses_429_and_503_mean_nothing_was_applied() {
     for status in [429, 503] {
         let failure = transact(serve(status, "")).await;
         assert_eq!(failure, Err(TableFailure::Throttled));
@@ -142,7 +144,7 @@
 }
 
 #[actix_web::test]
-async fn what_cannot_be_read_may_have_been_applied() {
+async fn unreadable_replies_may_have_been_applied() {
     for (status, body) in [(200, "{"), (500, ""), (400, ""), (307, "")] {
         let failure = transact(serve(status, body)).await;
         assert_eq!(failure, Err(TableFailure::ReplyLost));
@@ -150,33 +152,34 @@
 }
 
 #[actix_web::test]
-async fn after_a_reply_cut_short_the_next_call_takes_a_fresh_connection() {
-    let table = table(accept(cut_the_first));
+async fn a_truncated_reply_makes_the_next_call_use_a_new_connection() {
+    let table = table(serve_raw(truncate_first_response));
     assert_eq!(read(&table).await, Err(TableFailure::ReplyLost));
     assert_eq!(read(&table).await, Ok(Rows::default()));
 }
 
-/// Answers the first request of its first connection and is silent on it from then on.
-async fn fall_silent(number: usize, mut stream: TcpStream) -> io::Result<()> {
+/// Responds to the first request on each connection; the first connection then stays open without
+/// further responses.
+async fn stall_first_connection(index: usize, mut stream: TcpStream) -> io::Result<()> {
     stream
         .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 11\r\n\r\n{\"rows\":[]}")
         .await?;
-    if number == 0 {
-        return stay_silent(number, stream).await;
+    if index == 0 {
+        return never_respond(index, stream).await;
     }
     Ok(())
 }
 
 #[actix_web::test]
-async fn a_pooled_connection_that_fell_silent_is_thrown_away() {
-    let table = table(accept(fall_silent));
+async fn a_stalled_pooled_connection_is_discarded() {
+    let table = table(serve_raw(stall_first_connection));
     assert_eq!(read(&table).await, Ok(Rows::default()));
     assert_eq!(read(&table).await, Err(TableFailure::ReplyLost));
     assert_eq!(read(&table).await, Ok(Rows::default()));
 }
 
 #[actix_web::test]
-async fn a_call_that_fails_late_keeps_fresh_connections() {
+async fn a_late_failure_does_not_discard_a_newer_connection_pool() {
     let peer = http::HttpPeer::new("http://127.0.0.1:1");
     let before = peer.generation();
     peer.discard_connections();
@@ -188,34 +191,34 @@
 }
 
 #[actix_web::test]
-async fn objects_that_are_missing_are_not_failures() {
+async fn missing_objects_are_not_failures() {
     let objects = HttpObjects::new(&format!("http://{}", serve(404, "")));
     assert_eq!(objects.get("a/b", TIMEOUT_MS).await, Ok(None));
     assert_eq!(objects.delete("a/b", TIMEOUT_MS).await, Ok(()));
 }
 
 #[actix_web::test]
-async fn an_instance_list_that_is_none_is_malformed() {
+async fn a_reply_of_another_type_is_a_malformed_instance_list() {
     let instances = HttpInstances::new(&format!("http://{}", serve(200, "[]")));
     let failure = instances.list(TIMEOUT_MS).await;
     assert_eq!(failure, Err(InstanceListFailure::Malformed));
 }
 
 #[actix_web::test]
-async fn an_engines_refusal_is_read() {
+async fn an_engine_refusal_is_parsed() {
     let address = serve(409, r#"{"code":"draining","stage":"e-2"}"#);
     let result = HttpEngines::new()
         .open(address, &open_stream(), false)
         .await;
     let Err(EngineCallFailure::Refused { error }) = result else {
-        panic!("not refused");
+        panic!("the engine's refusal was not returned");
     };
     assert_eq!(error.code, EngineErrorCode::Draining);
     assert_eq!(error.stage, Some(EndpointId::from("e-2")));
 }
 
 #[actix_web::test]
-async fn an_error_that_is_not_the_engines_proves_nothing() {
+async fn an_error_from_a_gateway_counts_as_a_lost_reply() {
     let address = serve(502, "bad gateway");
     let result = HttpEngines::new()
         .open(address, &open_stream(), false)
@@ -233,9 +236,9 @@
 
 #[actix_web::test]
 async fn a_call_ends_at_its_timeout() {
-    let address = accept(stay_silent);
+    let address = serve_raw(never_respond);
     let limit = Duration::from_secs(5);
-    let call = HttpEngines::new();
-    let state = tokio::time::timeout(limit, call.state(address, TIMEOUT_MS)).await;
+    let engines = HttpEngines::new();
+    let state = tokio::time::timeout(limit, engines.state(address, TIMEOUT_MS)).await;
     assert_eq!(state, Ok(Err(EngineCallFailure::ReplyLost)));
 }
