--- a/bench/src/caller/attempt.rs
+++ b/bench/src/caller/attempt.rs
@@ -12,7 +12,7 @@
     DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER, OUTCOME_HEADER, Outcome, REQUEST_ID_HEADER,
     RefusalCode,
 };
-use fescueshore::wire::caller::{ChatAnswer, ErrorAnswer, TextAnswer};
+use fescueshore::wire::caller::{ChatCompletion, ErrorResponse, TextCompletion};
 use fescueshore::wire::sse::SseReader;
 use futures_util::{Stream, StreamExt};
 
@@ -221,7 +221,7 @@
 }
 
 fn read_refusal(status: u16, outcome: Outcome, body: &[u8]) -> AttemptEnd {
-    let Ok(answer) = serde_json::from_slice::<ErrorAnswer>(body) else {
+    let Ok(answer) = serde_json::from_slice::<ErrorResponse>(body) else {
         return AttemptEnd::Malformed("not an error object");
     };
     if answer.error.outcome != outcome {
@@ -230,7 +230,7 @@
     AttemptEnd::Refused(refused(status, &answer))
 }
 
-fn refused(status: u16, answer: &ErrorAnswer) -> Refused {
+fn refused(status: u16, answer: &ErrorResponse) -> Refused {
     Refused {
         status,
         code: answer.error.code,
@@ -295,7 +295,7 @@
         if self.end.is_some() {
             self.end = Some(AttemptEnd::Malformed("an event after the end"));
         } else if event == ERROR_EVENT {
-            self.end = Some(match serde_json::from_slice::<ErrorAnswer>(data) {
+            self.end = Some(match serde_json::from_slice::<ErrorResponse>(data) {
                 Ok(answer) => AttemptEnd::Refused(refused(200, &answer)),
                 Err(_) => AttemptEnd::Malformed("not an error object"),
             });
@@ -326,13 +326,13 @@
 fn answer_text(shape: Shape, data: &[u8]) -> Option<String> {
     match shape {
         Shape::Chat => {
-            let answer: ChatAnswer = serde_json::from_slice(data).ok()?;
+            let answer: ChatCompletion = serde_json::from_slice(data).ok()?;
             let choice = answer.choices.into_iter().next();
             let delta = choice.and_then(|choice| choice.message.or(choice.delta));
             Some(delta.and_then(|delta| delta.content).unwrap_or_default())
         }
         Shape::Text => {
-            let answer: TextAnswer = serde_json::from_slice(data).ok()?;
+            let answer: TextCompletion = serde_json::from_slice(data).ok()?;
             let choice = answer.choices.into_iter().next();
             Some(choice.map(|choice| choice.text).unwrap_or_default())
         }
--- a/bench/src/caller/locate.rs
+++ b/bench/src/caller/locate.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use fescueshore::ids::ServiceName;
-use fescueshore::wire::locate::LocateAnswer;
+use fescueshore::wire::locate::LocateResponse;
 use indexmap::IndexMap;
 use rand::RngExt;
 
@@ -102,11 +102,11 @@
     http: &awc::Client,
     seed: SocketAddr,
     service: &ServiceName,
-) -> Option<LocateAnswer> {
+) -> Option<LocateResponse> {
     let url = format!("http://{seed}/v1/locate?service={service}");
     let asked = async {
         let mut response = http.get(url).send().await.ok()?;
-        response.json::<LocateAnswer>().await.ok()
+        response.json::<LocateResponse>().await.ok()
     };
     let answered = actix_rt::time::timeout(LOCATE_TIMEOUT, asked).await;
     answered.ok().flatten()
--- a/bench/tests/control/rollout.rs
+++ b/bench/tests/control/rollout.rs
@@ -8,7 +8,7 @@
 use fescue_bench::answer::AnswerKey;
 use fescue_bench::deployment;
 use fescue_bench::fleet::{Fleet, accept_text, repository_root, wait_until};
-use fescueshore::wire::caller::{ErrorAnswer, TextAnswer};
+use fescueshore::wire::caller::{ErrorResponse, TextCompletion};
 use fescueshore::wire::engine::EngineState;
 use fescueshore::wire::operator::AcceptReply;
 
@@ -38,10 +38,10 @@
         let entry = entries[(caller + asked) % entries.len()];
         let prompt = format!("prompt {asked} of caller {caller}");
         let body = complete(&http, entry, "grill-chain", &prompt).await;
-        match serde_json::from_slice::<TextAnswer>(&body) {
+        match serde_json::from_slice::<TextCompletion>(&body) {
             Ok(answer) => judge(&answer, &prompt, &seen),
             Err(_) => {
-                let error: ErrorAnswer = serde_json::from_slice(&body).expect("an error");
+                let error: ErrorResponse = serde_json::from_slice(&body).expect("an error");
                 let code = format!("{:?}", error.error.code);
                 seen.refused.borrow_mut().push(code);
                 actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -50,7 +50,7 @@
     }
 }
 
-fn judge(answer: &TextAnswer, prompt: &str, seen: &Seen) {
+fn judge(answer: &TextCompletion, prompt: &str, seen: &Seen) {
     let tokens: Vec<&str> = answer.choices[0].text.split_whitespace().collect();
     let is_of = |version| {
         let key = AnswerKey {
--- a/bench/tests/processes/bad_input.rs
+++ b/bench/tests/processes/bad_input.rs
@@ -2,7 +2,7 @@
 
 use awc::http::Method;
 use fescueshore::outcome::{OUTCOME_HEADER, RefusalCode};
-use fescueshore::wire::caller::ErrorAnswer;
+use fescueshore::wire::caller::ErrorResponse;
 
 use crate::env::Env;
 
@@ -126,7 +126,7 @@
             "{}",
             case.name
         );
-        let answer: ErrorAnswer = response.json().await.expect(case.name);
+        let answer: ErrorResponse = response.json().await.expect(case.name);
         assert_eq!(answer.error.code, case.code, "{}", case.name);
     }
     assert_eq!(env.findings().await.tokens, 0);
--- a/bench/tests/processes/stops.rs
+++ b/bench/tests/processes/stops.rs
@@ -9,7 +9,7 @@
 use fescueshore::exit_codes::Exit;
 use fescueshore::ids::InstanceId;
 use fescueshore::outcome::{Outcome, RefusalCode};
-use fescueshore::wire::locate::LocateAnswer;
+use fescueshore::wire::locate::LocateResponse;
 use uuid::Uuid;
 
 use crate::env::{Env, LIMIT, Task, all_answered, ask_answered, eventually, read, spawn, stream};
@@ -108,7 +108,7 @@
     assert_uncut(&env);
 }
 
-async fn locate(http: &awc::Client, entry: std::net::SocketAddr) -> Option<LocateAnswer> {
+async fn locate(http: &awc::Client, entry: std::net::SocketAddr) -> Option<LocateResponse> {
     let url = format!("http://{entry}/v1/locate?service=ledger-api");
     http.get(url).send().await.ok()?.json().await.ok()
 }
--- a/src/control/engine_book.rs
+++ b/src/control/engine_book.rs
@@ -193,7 +193,7 @@
     }
 
     fn take_state(&mut self, state: EngineState) {
-        let fulfilled = |ordered: &Ordered| ordered.desired.is_held_by(&state);
+        let fulfilled = |ordered: &Ordered| ordered.desired.matches_state(&state);
         if self.ordered.as_ref().is_some_and(fulfilled) {
             self.ordered = None;
         }
--- a/src/control/shares.rs
+++ b/src/control/shares.rs
@@ -6,7 +6,7 @@
 use crate::document::Document;
 use crate::fairness::{EntryDemand, EntryShare, entry_pieces, split_shares};
 use crate::ids::{AccountId, InstanceId, ServiceName};
-use crate::wire::local::{AccountShare, EntryPart, EntryReport};
+use crate::wire::local::{AccountShare, EntryReport, EntrySlotRange};
 use crate::wire::peer::{PeerDemand, ServiceDemand};
 
 /// Pause between two splits.
@@ -36,7 +36,7 @@
     next_ms: u64,
     next_tell_ms: u64,
     current: Vec<AccountShare>,
-    parts: Vec<EntryPart>,
+    parts: Vec<EntrySlotRange>,
 }
 
 impl Shares {
@@ -69,7 +69,7 @@
     }
 
     /// The own entry's parts in force.
-    pub(super) fn parts(&self) -> &[EntryPart] {
+    pub(super) fn parts(&self) -> &[EntrySlotRange] {
         &self.parts
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// The own entry's part of each service that has shares.
-    fn own_parts(&self, all: &[(ServiceName, EntryShare)], now_ms: u64) -> Vec<EntryPart> {
+    fn own_parts(&self, all: &[(ServiceName, EntryShare)], now_ms: u64) -> Vec<EntrySlotRange> {
         let told = self.told_demands(now_ms);
         let entries: Vec<InstanceId> = told.iter().map(|told| told.instance.clone()).collect();
         let mut services: IndexMap<&ServiceName, Vec<EntryShare>> = IndexMap::new();
@@ -152,7 +152,7 @@
         }
         let parts = services.into_iter().filter_map(|(service, shares)| {
             let pieces = *entry_pieces(&shares, &entries).get(&self.config.instance)?;
-            Some(EntryPart {
+            Some(EntrySlotRange {
                 service: service.clone(),
                 first_piece: pieces.first,
                 end_piece: pieces.end,
--- a/src/control/tests/fake_engine.rs
+++ b/src/control/tests/fake_engine.rs
@@ -78,7 +78,7 @@
         self.state.fence = self.state.fence.max(order.fence);
         self.taken.push((now_ms, order.fence));
         let known = self.loading.as_ref().map(|(desired, _)| desired);
-        if known != Some(&order.desired) && !order.desired.is_held_by(&self.state) {
+        if known != Some(&order.desired) && !order.desired.matches_state(&self.state) {
             self.loading = Some((order.desired.clone(), now_ms + LOAD_MS));
         }
         Ok(self.read(now_ms))
--- a/src/control_server/tests.rs
+++ b/src/control_server/tests.rs
@@ -16,7 +16,7 @@
 use crate::wire::WIRE_VERSION;
 use crate::wire::local::EntryReport;
 use crate::wire::operator::{AcceptRequest, OperatorFault};
-use crate::wire::peer::{News, PeerMessage};
+use crate::wire::peer::{PeerMessage, PeerUpdates};
 
 const KEY: &str = "key-of-the-own-processes";
 const LIMIT: Duration = Duration::from_secs(10);
@@ -70,7 +70,7 @@
         wire_version: WIRE_VERSION,
         from: InstanceId::from("entry-lac-2"),
         beats: None,
-        news: News::default(),
+        news: PeerUpdates::default(),
     }
 }
 
--- a/src/entry/locate.rs
+++ b/src/entry/locate.rs
@@ -8,7 +8,7 @@
 
 use crate::ids::{InstanceId, ServiceName, ZoneName};
 use crate::wire::local::EntryRecord;
-use crate::wire::locate::{LocateAnswer, LocatedEntry};
+use crate::wire::locate::{LocateResponse, LocatedEntry};
 
 /// Most addresses in one answer.
 const MAX_ADDRESSES: usize = 4;
@@ -24,7 +24,7 @@
     caller: &str,
     zone: &ZoneName,
     entries: &[EntryRecord],
-) -> Option<LocateAnswer> {
+) -> Option<LocateResponse> {
     let mut ranked: Vec<&EntryRecord> = entries.iter().filter(|entry| entry.serving).collect();
     ranked.sort_by_cached_key(|entry| std::cmp::Reverse(score(service, caller, &entry.instance)));
     let (near, far): (Vec<_>, Vec<_>) = ranked.into_iter().partition(|entry| entry.zone == *zone);
@@ -41,7 +41,7 @@
     if picked.is_empty() {
         return None;
     }
-    Some(LocateAnswer {
+    Some(LocateResponse {
         service: service.clone(),
         entries: picked,
         ttl_ms: TTL_MS,
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -8,7 +8,7 @@
 use crate::outcome::{Refusal, RefusalCode};
 use crate::routing::Policy;
 use crate::wire::local::{EntryRecord, Snapshot};
-use crate::wire::locate::LocateAnswer;
+use crate::wire::locate::LocateResponse;
 
 /// When a caller should come back to an instance that has no document yet.
 const NOT_READY_RETRY_MS: u64 = 1_000;
@@ -30,7 +30,7 @@
 {
     /// Entries to use for a service. `caller` is any stable text that tells callers apart: each
     /// gets its own order.
-    pub fn locate(&self, service: &ServiceName, caller: &str) -> Result<LocateAnswer, Refusal> {
+    pub fn locate(&self, service: &ServiceName, caller: &str) -> Result<LocateResponse, Refusal> {
         if self.directory.is_empty() {
             return Err(not_ready());
         }
--- a/src/gateway/chunk.rs
+++ b/src/gateway/chunk.rs
@@ -7,7 +7,7 @@
 use crate::ids::RequestId;
 use crate::outcome::Refusal;
 use crate::wire::caller::{
-    ChatAnswer, ChatChoice, ChatDelta, FinishReason, TextAnswer, TextChoice, Usage,
+    ChatChoice, ChatCompletion, ChatDelta, FinishReason, TextChoice, TextCompletion, Usage,
 };
 
 /// Written while an answer pauses, so that each side can tell a pause from a dead connection.
@@ -49,8 +49,8 @@
         }
     }
 
-    fn chat(&self, object: &str, choices: Vec<ChatChoice>, usage: Option<Usage>) -> ChatAnswer {
-        ChatAnswer {
+    fn chat(&self, object: &str, choices: Vec<ChatChoice>, usage: Option<Usage>) -> ChatCompletion {
+        ChatCompletion {
             id: self.id.clone(),
             object: object.to_owned(),
             created: self.created,
@@ -60,8 +60,8 @@
         }
     }
 
-    fn text(&self, choices: Vec<TextChoice>, usage: Option<Usage>) -> TextAnswer {
-        TextAnswer {
+    fn text(&self, choices: Vec<TextChoice>, usage: Option<Usage>) -> TextCompletion {
+        TextCompletion {
             id: self.id.clone(),
             object: "text_completion".to_owned(),
             created: self.created,
--- a/src/gateway/claim_call.rs
+++ b/src/gateway/claim_call.rs
@@ -11,7 +11,7 @@
 use crate::ids::{Incarnation, InstanceId};
 use crate::instance::{CallId, EntryMessage};
 use crate::wire::WIRE_VERSION;
-use crate::wire::claim::{CLAIMS_PATH, ClaimAnswer, ClaimQuestion};
+use crate::wire::claim::{CLAIMS_PATH, ClaimStatusRequest, ClaimStatusResponse};
 
 /// Largest answer to a question about a claim.
 const REPLY_LIMIT_BYTES: usize = 4 << 10;
@@ -21,7 +21,7 @@
     outside: Rc<Outside>,
     call: CallId,
     address: SocketAddr,
-    question: ClaimQuestion,
+    question: ClaimStatusRequest,
     timeout_ms: u64,
 ) -> Deliver {
     let working = ask_claim(&outside, address, &question, timeout_ms).await;
@@ -33,8 +33,8 @@
     instance: InstanceId,
     incarnation: Incarnation,
     claim: String,
-) -> ClaimQuestion {
-    ClaimQuestion {
+) -> ClaimStatusRequest {
+    ClaimStatusRequest {
         wire_version: WIRE_VERSION,
         instance,
         incarnation,
@@ -47,7 +47,7 @@
 async fn ask_claim(
     outside: &Outside,
     address: SocketAddr,
-    question: &ClaimQuestion,
+    question: &ClaimStatusRequest,
     timeout_ms: u64,
 ) -> Option<bool> {
     let bearer = format!("Bearer {}", outside.peer_key.expose());
@@ -60,6 +60,6 @@
         Err(HttpFailure::NoListener) => return Some(false),
         _ => return None,
     };
-    let answer: ClaimAnswer = serde_json::from_slice(&reply.body).ok()?;
+    let answer: ClaimStatusResponse = serde_json::from_slice(&reply.body).ok()?;
     Some(answer.working)
 }
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -7,9 +7,9 @@
 use crate::ids::ServiceName;
 use crate::instance::{CallId, CallerId, CallerRequest, EntryMessage, PresentedKey, StreamFailure};
 use crate::outcome::Refusal;
-use crate::wire::claim::ClaimQuestion;
+use crate::wire::claim::ClaimStatusRequest;
 use crate::wire::engine::StreamEvent;
-use crate::wire::locate::LocateAnswer;
+use crate::wire::locate::LocateResponse;
 
 /// A message for the state machine, as it is.
 #[derive(Debug, Message)]
@@ -51,11 +51,11 @@
 /// Another entry asks about a claim.
 #[derive(Debug, Message)]
 #[rtype(result = "bool")]
-pub(crate) struct AskClaim(pub(crate) ClaimQuestion);
+pub(crate) struct AskClaim(pub(crate) ClaimStatusRequest);
 
 /// A caller asks which addresses to use.
 #[derive(Debug, Message)]
-#[rtype(result = "Result<LocateAnswer, Refusal>")]
+#[rtype(result = "Result<LocateResponse, Refusal>")]
 pub(crate) struct Locate {
     /// The service.
     pub(crate) service: ServiceName,
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -13,8 +13,8 @@
 use crate::instance::PresentedKey;
 use crate::outcome::{Refusal, RefusalCode};
 use crate::settings::Secret;
-use crate::wire::caller::{ModelItem, ModelsAnswer};
-use crate::wire::claim::{ClaimAnswer, ClaimQuestion};
+use crate::wire::caller::{ModelItem, ModelList};
+use crate::wire::claim::{ClaimStatusRequest, ClaimStatusResponse};
 
 /// Query of `GET /v1/locate`.
 #[derive(Debug, Deserialize)]
@@ -42,7 +42,7 @@
 pub(crate) async fn list_models(gateway: Data<Gateway>, http: HttpRequest) -> HttpResponse {
     let key = read_key(http.headers());
     match gateway.actor.send(ListModels { key }).await {
-        Ok(Ok(views)) => HttpResponse::Ok().json(ModelsAnswer {
+        Ok(Ok(views)) => HttpResponse::Ok().json(ModelList {
             object: "list".to_owned(),
             data: views.iter().flat_map(model_items).collect(),
         }),
@@ -84,7 +84,7 @@
 pub(crate) async fn ask_claim(
     gateway: Data<Gateway>,
     http: HttpRequest,
-    question: Json<ClaimQuestion>,
+    question: Json<ClaimStatusRequest>,
 ) -> HttpResponse {
     let key = read_key(http.headers());
     let key = key.as_ref().map_or("", PresentedKey::expose);
@@ -93,7 +93,7 @@
         return refuse(&refusal, &draw_request_id());
     }
     match gateway.actor.send(AskClaim(question.into_inner())).await {
-        Ok(working) => HttpResponse::Ok().json(ClaimAnswer { working }),
+        Ok(working) => HttpResponse::Ok().json(ClaimStatusResponse { working }),
         Err(_) => refuse(&stopping(), &draw_request_id()),
     }
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -7,7 +7,7 @@
 use crate::ids::RequestId;
 use crate::instance::ApplicationReply;
 use crate::outcome::{OUTCOME_HEADER, Outcome, REQUEST_ID_HEADER, Refusal, RefusalCode};
-use crate::wire::caller::{ErrorAnswer, ErrorDetail};
+use crate::wire::caller::{ErrorDetail, ErrorResponse};
 
 /// Response header that says that an answer is a recorded one.
 const REPLAYED_HEADER: &str = "x-fescue-replayed";
@@ -59,8 +59,8 @@
 }
 
 /// The body of a refusal.
-pub(crate) fn error_answer(refusal: &Refusal, message: &str) -> ErrorAnswer {
-    ErrorAnswer {
+pub(crate) fn error_answer(refusal: &Refusal, message: &str) -> ErrorResponse {
+    ErrorResponse {
         error: ErrorDetail {
             code: refusal.code,
             message: message.to_owned(),
--- a/src/gateway/tests/chunks.rs
+++ b/src/gateway/tests/chunks.rs
@@ -4,7 +4,7 @@
 use crate::gateway::request::{AnswerForm, AnswerShape};
 use crate::ids::RequestId;
 use crate::outcome::{Refusal, RefusalCode};
-use crate::wire::caller::{ChatAnswer, TextAnswer};
+use crate::wire::caller::{ChatCompletion, TextCompletion};
 use crate::wire::sse::SseReader;
 
 const UNIX_MS: u64 = 1_790_000_000_123;
@@ -70,13 +70,13 @@
 fn text_of(shape: AnswerShape, chunk: &str) -> String {
     match shape {
         AnswerShape::Chat => {
-            let answer: ChatAnswer = serde_json::from_str(chunk).unwrap();
+            let answer: ChatCompletion = serde_json::from_str(chunk).unwrap();
             let choice = answer.choices.into_iter().next();
             let delta = choice.and_then(|choice| choice.delta);
             delta.and_then(|delta| delta.content).unwrap_or_default()
         }
         AnswerShape::Text => {
-            let answer: TextAnswer = serde_json::from_str(chunk).unwrap();
+            let answer: TextCompletion = serde_json::from_str(chunk).unwrap();
             let choice = answer.choices.into_iter().next();
             choice.map(|choice| choice.text).unwrap_or_default()
         }
--- a/src/gateway/tests/paths.rs
+++ b/src/gateway/tests/paths.rs
@@ -13,8 +13,8 @@
 use crate::gateway::claim_call::{ask_holder, claim_question};
 use crate::ids::Incarnation;
 use crate::instance::{CallId, EntryMessage};
-use crate::wire::caller::{ErrorAnswer, ModelsAnswer};
-use crate::wire::locate::LocateAnswer;
+use crate::wire::caller::{ErrorResponse, ModelList};
+use crate::wire::locate::LocateResponse;
 
 const FAST: Duration = Duration::from_millis(1);
 const SLOW: Duration = Duration::from_millis(20);
@@ -37,7 +37,7 @@
 
 async fn error(mut response: ClientResponse) -> (StatusCode, String) {
     assert_eq!(header(&response, "x-fescue-outcome"), "not-run");
-    let body: ErrorAnswer = response.json().await.unwrap();
+    let body: ErrorResponse = response.json().await.unwrap();
     let code = serde_json::to_value(body.error.code).unwrap();
     (response.status(), code.as_str().unwrap().to_owned())
 }
@@ -181,7 +181,7 @@
     }
     let locate = entry.url("/v1/locate?service=menu-mind");
     let mut response = client.get(locate).send().await.unwrap();
-    let located: LocateAnswer = response.json().await.unwrap();
+    let located: LocateResponse = response.json().await.unwrap();
     assert_eq!(located.entries[0].address, entry.process.address);
 }
 
@@ -190,7 +190,7 @@
     let entry = start(FAST).await;
     let request = Client::default().get(entry.url("/v1/models"));
     let mut response = request.bearer_auth(KEY).send().await.unwrap();
-    let models: ModelsAnswer = response.json().await.unwrap();
+    let models: ModelList = response.json().await.unwrap();
     let ids: Vec<&str> = models.data.iter().map(|model| model.id.as_str()).collect();
     let expected = [
         "menu-mind-24b",
--- a/src/membership/beat.rs
+++ b/src/membership/beat.rs
@@ -4,7 +4,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::ids::InstanceId;
-use crate::wire::peer::{BeatValue, Beats};
+use crate::wire::peer::{HeartbeatDigest, HeartbeatDigestEntry};
 
 /// Unit of ages on the wire.
 const AGE_UNIT_MS: u64 = 100;
@@ -37,9 +37,9 @@
 }
 
 /// Writes beats; `order` is the sorted list of the instances known here.
-pub(super) fn encode(order: &[InstanceId], beats: &BeatMap, with_names: bool) -> Beats {
+pub(super) fn encode(order: &[InstanceId], beats: &BeatMap, with_names: bool) -> HeartbeatDigest {
     let highest = beats.values().map(|beat| beat.number).max().unwrap_or(0);
-    let value = |(position, name): (usize, &InstanceId)| -> Option<BeatValue> {
+    let value = |(position, name): (usize, &InstanceId)| -> Option<HeartbeatDigestEntry> {
         let beat = beats.get(name)?;
         Some((
             u16::try_from(position).ok()?,
@@ -49,7 +49,7 @@
             beat.age_ms / AGE_UNIT_MS,
         ))
     };
-    Beats {
+    HeartbeatDigest {
         order: order_hash(order),
         names: if with_names {
             order.to_vec()
@@ -62,7 +62,7 @@
 }
 
 /// Reads beats; `None` if they refer to a list that is not the one known here.
-pub(super) fn decode(order: &[InstanceId], beats: &Beats) -> Option<BeatMap> {
+pub(super) fn decode(order: &[InstanceId], beats: &HeartbeatDigest) -> Option<BeatMap> {
     let names = if !beats.names.is_empty() {
         &beats.names
     } else if beats.order == order_hash(order) {
--- a/src/membership/exchange.rs
+++ b/src/membership/exchange.rs
@@ -2,7 +2,9 @@
 
 use crate::ids::InstanceId;
 use crate::wire::WIRE_VERSION;
-use crate::wire::peer::{Beats, News, PeerDemand, PeerMessage, PeerReply, PeerState};
+use crate::wire::peer::{
+    HeartbeatDigest, PeerDemand, PeerMessage, PeerReply, PeerState, PeerUpdates,
+};
 
 use super::beat::{Beat, BeatMap, decode, encode, order_hash};
 use super::gossip::{Gossip, GossipTo, Merged};
@@ -23,7 +25,11 @@
     }
 
     /// Reads a peer's beats; `None` if it speaks of other instances than are known here.
-    pub(crate) fn read_beats(&mut self, peer: &InstanceId, beats: &Beats) -> Option<BeatMap> {
+    pub(crate) fn read_beats(
+        &mut self,
+        peer: &InstanceId,
+        beats: &HeartbeatDigest,
+    ) -> Option<BeatMap> {
         if let Some(member) = self.members.get_mut(peer) {
             member.order = Some(beats.order);
         }
@@ -82,7 +88,7 @@
     }
 
     /// Writes beats for a peer, with names only where its list is another one.
-    pub(super) fn write_beats(&self, peer: &InstanceId, beats: &BeatMap) -> Beats {
+    pub(super) fn write_beats(&self, peer: &InstanceId, beats: &BeatMap) -> HeartbeatDigest {
         let order = self.order();
         let known = self.members.get(peer).and_then(|member| member.order);
         encode(&order, beats, known != Some(order_hash(&order)))
@@ -103,7 +109,7 @@
     }
 
     /// Adds what the other side knows less well.
-    fn add_news(&self, told: &BeatMap, digest: &BeatMap, news: &mut News) {
+    fn add_news(&self, told: &BeatMap, digest: &BeatMap, news: &mut PeerUpdates) {
         for (instance, beat) in digest {
             let told = told.get(instance);
             if told.is_none_or(|told| told.state < beat.state) {
@@ -148,7 +154,7 @@
         }
     }
 
-    fn merge_news(&mut self, news: News, now_ms: u64) -> Merged {
+    fn merge_news(&mut self, news: PeerUpdates, now_ms: u64) -> Merged {
         let mut changed = false;
         for state in news.states {
             changed |= self.merge_state(state, now_ms);
@@ -211,10 +217,10 @@
         }
     }
 
-    fn wanted(&self, states: &[InstanceId], demands: &[InstanceId]) -> News {
+    fn wanted(&self, states: &[InstanceId], demands: &[InstanceId]) -> PeerUpdates {
         let states = states.iter().filter_map(|it| self.state_of(it));
         let demands = demands.iter().filter_map(|it| self.demand_of(it));
-        News {
+        PeerUpdates {
             states: states.cloned().collect(),
             demands: demands.cloned().collect(),
             documents: Vec::new(),
--- a/src/membership/rounds.rs
+++ b/src/membership/rounds.rs
@@ -5,7 +5,7 @@
 use crate::ids::InstanceId;
 use crate::wire::WIRE_VERSION;
 use crate::wire::operator::DocumentReply;
-use crate::wire::peer::{Beats, News, PeerMessage};
+use crate::wire::peer::{HeartbeatDigest, PeerMessage, PeerUpdates};
 
 use super::beat::{Beat, BeatMap};
 use super::gossip::{Gossip, GossipTo, MS_PER_BEAT};
@@ -62,7 +62,7 @@
     /// A message to every peer with the own state and documents just accepted.
     pub(crate) fn push(&mut self, documents: Vec<DocumentReply>, now_ms: u64) -> Vec<GossipTo> {
         let peers: Vec<InstanceId> = self.members.keys().cloned().collect();
-        let news = News {
+        let news = PeerUpdates {
             states: vec![self.own.clone()],
             demands: Vec::new(),
             documents,
@@ -115,13 +115,13 @@
             return None;
         }
         let beats = self.write_beats(peer, &self.digest(now_ms));
-        let message = self.message(Some(beats), News::default());
+        let message = self.message(Some(beats), PeerUpdates::default());
         let message = self.address_to(peer, message)?;
         self.members.get_mut(peer)?.asked = true;
         Some(message)
     }
 
-    pub(super) fn message(&self, beats: Option<Beats>, news: News) -> PeerMessage {
+    pub(super) fn message(&self, beats: Option<HeartbeatDigest>, news: PeerUpdates) -> PeerMessage {
         PeerMessage {
             wire_version: WIRE_VERSION,
             from: self.own.instance.clone(),
--- a/src/membership/tests.rs
+++ b/src/membership/tests.rs
@@ -6,7 +6,7 @@
 use super::beat::{Beat, BeatMap, decode, encode};
 use super::{LeavingSigns, Listing, SignSources, highest, rank};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
-use crate::wire::peer::{Beats, PeerMessage, PeerReply};
+use crate::wire::peer::{HeartbeatDigest, PeerMessage, PeerReply};
 use crate::wire::platform::{InstanceList, InstancePhase, InstanceRecord, InstanceRole};
 
 fn names(count: usize) -> Vec<InstanceId> {
@@ -35,7 +35,7 @@
         let order: Vec<InstanceId> = names(16);
         let written = encode(&order, &beats, with_names);
         let text = serde_json::to_string(&written).unwrap();
-        let read: Beats = serde_json::from_str(&text).unwrap();
+        let read: HeartbeatDigest = serde_json::from_str(&text).unwrap();
         prop_assert_eq!(decode(&order, &read), Some(beats));
     }
 
@@ -54,7 +54,7 @@
         highest: u64,
         text in "[\\[\\]{}\":,a-z0-9]{0,80}",
     ) {
-        let beats = Beats { order, names: names(3), highest, values: positions };
+        let beats = HeartbeatDigest { order, names: names(3), highest, values: positions };
         decode(&names(3), &beats);
         let _ = serde_json::from_str::<PeerMessage>(&text);
         let _ = serde_json::from_str::<PeerReply>(&text);
--- a/src/orders/plan.rs
+++ b/src/orders/plan.rs
@@ -45,7 +45,7 @@
         let Some(desired) = desired(models, engines, state) else {
             continue;
         };
-        if desired.is_held_by(state) {
+        if desired.matches_state(state) {
             continue;
         }
         plan.unfinished += 1;
@@ -92,7 +92,7 @@
             .map_or(0, |(index, _)| index);
         let candidate = candidates.remove(next);
         let state = candidate.state;
-        if candidate.desired.disturbs(state) && state.model == offer.name {
+        if candidate.desired.interrupts_work(state) && state.model == offer.name {
             let mut remaining = available.clone();
             remaining.remove(state, &state.version, state.layers);
             if remaining.usable() < minimum {
@@ -121,7 +121,9 @@
 fn available_capacity(offer: &ModelOffer, engines: &[EngineView<'_>]) -> Capacity {
     let mut capacity = Capacity::new(offer.layers);
     for (engine, state) in of_model(offer, engines) {
-        let stops = engine.ordered.is_some_and(|order| order.disturbs(state));
+        let stops = engine
+            .ordered
+            .is_some_and(|order| order.interrupts_work(state));
         if !stops && !state.draining {
             capacity.add(state, &state.version, state.layers);
         }
--- a/src/routing/limits.rs
+++ b/src/routing/limits.rs
@@ -6,7 +6,7 @@
 
 use crate::fairness::PIECES;
 use crate::ids::ServiceName;
-use crate::wire::local::EntryPart;
+use crate::wire::local::EntrySlotRange;
 
 /// Reports over which a slot must have been free to be lent.
 const REPORTS: usize = 3;
@@ -132,7 +132,7 @@
     /// Entries that serve; at least 1.
     pub(crate) entries: u64,
     /// Pieces told by control; all entries have the same part of the other services.
-    pub(crate) parts: Vec<EntryPart>,
+    pub(crate) parts: Vec<EntrySlotRange>,
 }
 
 impl EntrySlots {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -9,7 +9,7 @@
 use crate::document::{Document, ModelOffer};
 use crate::ids::{EndpointId, ServiceName, StreamId, ZoneName};
 use crate::wire::engine::{CacheEvents, EngineState, Stage};
-use crate::wire::local::{EndpointRecord, EntryPart};
+use crate::wire::local::{EndpointRecord, EntrySlotRange};
 
 use super::affinity::PrefixHints;
 use super::applications;
@@ -130,7 +130,7 @@
 
     /// Takes this entry's parts of the slots as control deals them by the shares of accounts; the
     /// parts of a service that is not named are equal.
-    pub fn set_entry_parts(&mut self, parts: &[EntryPart]) {
+    pub fn set_entry_parts(&mut self, parts: &[EntrySlotRange]) {
         if parts != self.own_slots.parts {
             self.own_slots.parts = parts.to_vec();
             (0..self.routes.len()).for_each(|at| self.deal(at));
--- a/src/wire/caller.rs
+++ b/src/wire/caller.rs
@@ -112,7 +112,7 @@
 
 /// A whole chat answer, or a chunk of a streamed one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChatAnswer {
+pub struct ChatCompletion {
     /// `chatcmpl-` and the request id.
     pub id: String,
     /// `chat.completion` or `chat.completion.chunk`.
@@ -156,7 +156,7 @@
 
 /// A whole text answer, or a chunk of a streamed one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TextAnswer {
+pub struct TextCompletion {
     /// `cmpl-` and the request id.
     pub id: String,
     /// `text_completion`.
@@ -206,7 +206,7 @@
 
 /// Body of every reply that is not an answer, and data of the `error` event of a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ErrorAnswer {
+pub struct ErrorResponse {
     /// The error.
     pub error: ErrorDetail,
 }
@@ -227,7 +227,7 @@
 
 /// Reply of `GET /v1/models`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ModelsAnswer {
+pub struct ModelList {
     /// `list`.
     pub object: String,
     /// The models.
--- a/src/wire/claim.rs
+++ b/src/wire/claim.rs
@@ -10,7 +10,7 @@
 
 /// Asks whether a process works on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimQuestion {
+pub struct ClaimStatusRequest {
     /// [`super::WIRE_VERSION`] of the sender.
     pub wire_version: u16,
     /// The holder's instance.
@@ -23,7 +23,7 @@
 
 /// Whether that process works on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClaimAnswer {
+pub struct ClaimStatusResponse {
     /// `false` too if the process that answers is another one.
     pub working: bool,
 }
--- a/src/wire/engine.rs
+++ b/src/wire/engine.rs
@@ -313,7 +313,7 @@
 
 impl EngineAssignment {
     /// Whether an engine holds exactly this, adapters in any order.
-    pub fn is_held_by(&self, state: &EngineState) -> bool {
+    pub fn matches_state(&self, state: &EngineState) -> bool {
         let same_adapters = state.adapters.len() == self.adapters.len()
             && self.adapters.iter().all(|it| state.adapters.contains(it));
         state.model == self.model
@@ -323,7 +323,7 @@
     }
 
     /// Whether an engine has to stop work to come to hold this.
-    pub fn disturbs(&self, state: &EngineState) -> bool {
+    pub fn interrupts_work(&self, state: &EngineState) -> bool {
         let keeps_adapters = state.adapters.iter().all(|it| self.adapters.contains(it));
         state.model != self.model
             || state.version != self.version
--- a/src/wire/local.rs
+++ b/src/wire/local.rs
@@ -125,7 +125,7 @@
     /// This entry's part of the slots of each service; all entries' parts are equal where none is
     /// told.
     #[serde(default)]
-    pub parts: Vec<EntryPart>,
+    pub parts: Vec<EntrySlotRange>,
 }
 
 /// A document in force at this instance.
@@ -186,7 +186,7 @@
 /// The part of a service's slots that this entry uses while there is contention: the pieces from
 /// `first_piece` up to `end_piece`, of [`crate::fairness::PIECES`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EntryPart {
+pub struct EntrySlotRange {
     /// Service.
     pub service: ServiceName,
     /// First piece.
--- a/src/wire/locate.rs
+++ b/src/wire/locate.rs
@@ -8,7 +8,7 @@
 
 /// Addresses to use for a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LocateAnswer {
+pub struct LocateResponse {
     /// The service.
     pub service: ServiceName,
     /// Entries to try in this order; never empty.
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,7 +1,7 @@
 //! Messages between the controls of one cell.
 //!
 //! One exchange is a [`PeerMessage`] and its [`PeerReply`]. Both sides tell what they know by
-//! [`Beats`]; whole states and demands pass only where the other side lacks them. Field names on
+//! [`HeartbeatDigest`]; whole states and demands pass only where the other side lacks them. Field names on
 //! the wire are short, since each control sends several messages a second.
 
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
     pub from: InstanceId,
     /// Instances the sender has heard of lately, itself included; absent where only news are sent.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub beats: Option<Beats>,
+    pub beats: Option<HeartbeatDigest>,
     /// What the receiver may lack.
-    #[serde(rename = "n", default, skip_serializing_if = "News::is_empty")]
-    pub news: News,
+    #[serde(rename = "n", default, skip_serializing_if = "PeerUpdates::is_empty")]
+    pub news: PeerUpdates,
 }
 
 /// Answer to a [`PeerMessage`].
@@ -37,10 +37,10 @@
     pub wire_version: u16,
     /// Beats that are newer here than in the message.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub beats: Option<Beats>,
+    pub beats: Option<HeartbeatDigest>,
     /// What the message's sender lacks.
-    #[serde(rename = "n", default, skip_serializing_if = "News::is_empty")]
-    pub news: News,
+    #[serde(rename = "n", default, skip_serializing_if = "PeerUpdates::is_empty")]
+    pub news: PeerUpdates,
     /// Instances whose state is older here than the message says.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub want_states: Vec<InstanceId>,
@@ -54,7 +54,7 @@
 /// Where both sides know the same instances, none is named: the values give positions in the
 /// sorted list of them, whose hash both sides tell.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beats {
+pub struct HeartbeatDigest {
     /// Hash of the sorted names of all instances that the sender knows.
     #[serde(rename = "o", default)]
     pub order: u32,
@@ -66,16 +66,16 @@
     pub highest: u64,
     /// One value for each instance.
     #[serde(rename = "v", default, skip_serializing_if = "Vec::is_empty")]
-    pub values: Vec<BeatValue>,
+    pub values: Vec<HeartbeatDigestEntry>,
 }
 
 /// Position, the beat's number counted back from the highest, how many numbers ago the state and
 /// the demand changed, and tenths of a second since the beat was heard.
-pub type BeatValue = (u16, u64, u64, u64, u64);
+pub type HeartbeatDigestEntry = (u16, u64, u64, u64, u64);
 
 /// States, demands and documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct PeerUpdates {
     /// States.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub states: Vec<PeerState>,
@@ -87,7 +87,7 @@
     pub documents: Vec<DocumentReply>,
 }
 
-impl News {
+impl PeerUpdates {
     /// Whether there is none.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty() && self.demands.is_empty() && self.documents.is_empty()
