--- a/src/ctl/commands/losses.rs
+++ b/src/ctl/commands/losses.rs
@@ -6,8 +6,8 @@
 
 use crate::ctl::fault::CtlError;
 use crate::ctl::log_lines::read_logs;
-use crate::ctl::loss_reason::Reason;
-use crate::ctl::losses::{Account, Losses, Window, account};
+use crate::ctl::loss_reason::LossReason;
+use crate::ctl::losses::{LossGroup, LossReport, LossWindow, summarize_losses};
 use crate::ctl::report::{Report, render, table};
 
 /// Characters of a time up to its tens of seconds: windows of ten seconds.
@@ -15,26 +15,26 @@
 
 pub(super) fn run(files: &[PathBuf]) -> Result<Report, CtlError> {
     let lines = read_logs(files)?;
-    let account = account(&lines, WINDOW_DIGITS);
-    let text = match account.attempts {
+    let report = summarize_losses(&lines, WINDOW_DIGITS);
+    let text = match report.attempts {
         0 => "no line ends a request; name the logs of all instances".to_owned(),
-        _ => render_account(&account),
+        _ => render_account(&report),
     };
-    Report::success(text, &account)
+    Report::success(text, &report)
 }
 
-fn render_account(account: &Account) -> String {
+fn render_account(report: &LossReport) -> String {
     let head = format!(
         "{} attempts: {} in time, {} late, {} lost",
-        account.attempts,
-        account.in_time,
-        account.late(),
-        account.lost()
+        report.attempts,
+        report.in_time,
+        report.late(),
+        report.lost()
     );
-    [head, render_losses(account), render_windows(account)].join("\n\n")
+    [head, render_losses(report), render_windows(report)].join("\n\n")
 }
 
-fn render_losses(account: &Account) -> String {
+fn render_losses(report: &LossReport) -> String {
     let mut table = table([
         "KIND",
         "REASON",
@@ -43,7 +43,7 @@
         "AGE OF LIST ms (median, most)",
         "EXAMPLES",
     ]);
-    for ((kind, reason), losses) in &account.losses {
+    for ((kind, reason), losses) in &report.losses {
         table.add_row([
             kind.clone(),
             reason.name().to_owned(),
@@ -56,7 +56,7 @@
     render(&table)
 }
 
-fn ages(losses: &Losses) -> String {
+fn ages(losses: &LossGroup) -> String {
     let ages = &losses.list_ages_ms;
     match (ages.get(ages.len() / 2), ages.last()) {
         (Some(median), Some(most)) => format!("{median}, {most}"),
@@ -64,9 +64,9 @@
     }
 }
 
-fn render_windows(account: &Account) -> String {
+fn render_windows(report: &LossReport) -> String {
     let mut table = table(["FROM", "ATTEMPTS", "LOST", "LATE", "MOSTLY"]);
-    for (at, window) in &account.windows {
+    for (at, window) in &report.windows {
         table.add_row([
             format!("{at}0"),
             window.attempts.to_string(),
@@ -79,8 +79,8 @@
 }
 
 /// The reason of most attempts that were lost or late in a window.
-fn mostly(window: &Window) -> String {
-    let mut sums: IndexMap<Reason, u64> = IndexMap::new();
+fn mostly(window: &LossWindow) -> String {
+    let mut sums: IndexMap<LossReason, u64> = IndexMap::new();
     for (reason, count) in window.lost.iter().chain(&window.late) {
         *sums.entry(*reason).or_insert(0) += count;
     }
--- a/src/ctl/loss_reason.rs
+++ b/src/ctl/loss_reason.rs
@@ -5,7 +5,7 @@
 /// Why a request was lost or late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Reason {
+pub enum LossReason {
     /// Some layer had no usable holder, or no replica took work.
     NoChain,
     /// Every chain that was left was full by what the instance knew.
@@ -44,7 +44,7 @@
     SlowEvents,
 }
 
-impl Reason {
+impl LossReason {
     /// Name in tables.
     pub fn name(self) -> &'static str {
         match self {
--- a/src/ctl/losses.rs
+++ b/src/ctl/losses.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::log_lines::LogLine;
-use super::loss_reason::Reason;
+use super::loss_reason::LossReason;
 
 /// Examples kept of each reason.
 const MOST_EXAMPLES: usize = 2;
@@ -16,13 +16,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fate {
     InTime,
-    Late(Reason),
-    Lost(Reason),
+    Late(LossReason),
+    Lost(LossReason),
 }
 
 /// Attempts of one kind of request that were lost or late for one reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Losses {
+pub struct LossGroup {
     /// Lost ones.
     pub lost: u64,
     /// Late ones.
@@ -35,40 +35,43 @@
 
 /// Attempts that ended in one window of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Window {
+pub struct LossWindow {
     /// All.
     pub attempts: u64,
     /// Lost ones by reason.
-    pub lost: IndexMap<Reason, u64>,
+    pub lost: IndexMap<LossReason, u64>,
     /// Late ones by reason.
-    pub late: IndexMap<Reason, u64>,
+    pub late: IndexMap<LossReason, u64>,
 }
 
 /// The account of a set of logs. Invariant: `attempts` is `in_time` and every lost and late one, each
 /// under one reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Account {
+pub struct LossReport {
     /// Attempts that have ended.
     pub attempts: u64,
     /// Those answered whole and in time.
     pub in_time: u64,
     /// The others, by kind of request and reason.
     #[serde(serialize_with = "as_list")]
-    pub losses: IndexMap<(String, Reason), Losses>,
+    pub losses: IndexMap<(String, LossReason), LossGroup>,
     /// By the time at which they ended, as the text of that time up to the window's length.
-    pub windows: IndexMap<String, Window>,
+    pub windows: IndexMap<String, LossWindow>,
 }
 
-/// One entry of [`Account::losses`] for programs.
+/// One entry of [`LossReport::losses`] for programs.
 #[derive(Serialize)]
 struct Entry<'a> {
     kind: &'a str,
-    reason: Reason,
+    reason: LossReason,
     #[serde(flatten)]
-    losses: &'a Losses,
+    losses: &'a LossGroup,
 }
 
-fn as_list<S>(losses: &IndexMap<(String, Reason), Losses>, serializer: S) -> Result<S::Ok, S::Error>
+fn as_list<S>(
+    losses: &IndexMap<(String, LossReason), LossGroup>,
+    serializer: S,
+) -> Result<S::Ok, S::Error>
 where
     S: serde::Serializer,
 {
@@ -79,7 +82,7 @@
     }))
 }
 
-impl Account {
+impl LossReport {
     /// Attempts that were lost.
     pub fn lost(&self) -> u64 {
         self.losses.values().map(|it| it.lost).sum()
@@ -93,11 +96,11 @@
 
 /// Accounts for the attempts in a set of logs; `lines` are sorted by time. Times of windows are cut
 /// to their first `window_digits` characters.
-pub fn account<'a, I>(lines: I, window_digits: usize) -> Account
+pub fn summarize_losses<'a, I>(lines: I, window_digits: usize) -> LossReport
 where
     I: IntoIterator<Item = &'a LogLine>,
 {
-    let mut account = Account::default();
+    let mut report = LossReport::default();
     // How the last try of each attempt ended that is not over yet.
     let mut last_ends: IndexMap<&str, &str> = IndexMap::new();
     for line in lines {
@@ -110,20 +113,20 @@
         }
         if let Some(fate) = fate(line, last_ends.get(request).copied()) {
             last_ends.swap_remove(request);
-            account.add(line, request, fate, window_digits);
+            report.add(line, request, fate, window_digits);
         }
     }
-    for losses in account.losses.values_mut() {
+    for losses in report.losses.values_mut() {
         losses.list_ages_ms.sort_unstable();
     }
-    account.losses.sort_by(|_, a, _, b| {
-        let weight = |it: &Losses| std::cmp::Reverse((it.lost, it.late));
+    report.losses.sort_by(|_, a, _, b| {
+        let weight = |it: &LossGroup| std::cmp::Reverse((it.lost, it.late));
         weight(a).cmp(&weight(b))
     });
-    account
+    report
 }
 
-impl Account {
+impl LossReport {
     fn add(&mut self, line: &LogLine, request: &str, fate: Fate, window_digits: usize) {
         self.attempts += 1;
         let at = line.at.get(..window_digits).unwrap_or(&line.at);
@@ -171,7 +174,7 @@
 fn stream_fate(line: &LogLine, last_end: Option<&str>) -> Fate {
     match line.text("outcome").unwrap_or("") {
         "whole" => whole_fate(line, last_end),
-        "caller_left" => Fate::Lost(Reason::CallerGone),
+        "caller_left" => Fate::Lost(LossReason::CallerGone),
         _ => Fate::Lost(reason_of_end(line, "outcome", last_end)),
     }
 }
@@ -188,22 +191,22 @@
         return Fate::InTime;
     }
     if line.number("repairs").unwrap_or(0) > 0 {
-        return Fate::Late(Reason::RepairedLate);
+        return Fate::Late(LossReason::RepairedLate);
     }
     Fate::Late(match last_end {
-        Some(end) => Reason::of_try(end),
-        None if starts_late => Reason::SlowStart,
-        None => Reason::SlowEvents,
+        Some(end) => LossReason::of_try(end),
+        None if starts_late => LossReason::SlowStart,
+        None => LossReason::SlowEvents,
     })
 }
 
 fn answer_fate(line: &LogLine) -> Fate {
     if line.number("status").unwrap_or(0) >= 500 {
-        return Fate::Lost(Reason::EndpointFailed);
+        return Fate::Lost(LossReason::EndpointFailed);
     }
     match (line.number("took_ms"), line.number("objective_ms")) {
         (Some(took_ms), Some(objective_ms)) if took_ms > objective_ms => {
-            Fate::Late(Reason::SlowStart)
+            Fate::Late(LossReason::SlowStart)
         }
         _ => Fate::InTime,
     }
@@ -211,8 +214,8 @@
 
 /// The reason of an end without answer: the limit that the line names, or else the final word, which
 /// stands under `word_key`.
-fn reason_of_end(line: &LogLine, word_key: &str, last_end: Option<&str>) -> Reason {
-    let of_limit = line.text("limit").and_then(Reason::of_limit);
+fn reason_of_end(line: &LogLine, word_key: &str, last_end: Option<&str>) -> LossReason {
+    let of_limit = line.text("limit").and_then(LossReason::of_limit);
     let word = line.text(word_key).unwrap_or("");
-    of_limit.unwrap_or_else(|| Reason::of_word(word, last_end))
+    of_limit.unwrap_or_else(|| LossReason::of_word(word, last_end))
 }
--- a/src/ctl/mod.rs
+++ b/src/ctl/mod.rs
@@ -24,8 +24,8 @@
 pub use cli::Cli;
 pub use fault::CtlError;
 pub use log_lines::LogLine;
-pub use loss_reason::Reason;
-pub use losses::{Account, Losses, Window, account};
+pub use loss_reason::LossReason;
+pub use losses::{LossGroup, LossReport, LossWindow, summarize_losses};
 pub use report::Report;
 
 use crate::exit_codes::Exit;
--- a/src/ctl/tests/losses.rs
+++ b/src/ctl/tests/losses.rs
@@ -2,7 +2,7 @@
 use serde_json::{Value, json};
 
 use super::run;
-use crate::ctl::{LogLine, Reason, account};
+use crate::ctl::{LogLine, LossReason, summarize_losses};
 
 fn line(at: &str, message: &str, values: Value) -> LogLine {
     let line =
@@ -58,56 +58,56 @@
 #[test]
 fn each_lost_or_late_attempt_stands_under_one_reason() {
     let lines = lines();
-    let account = account(&lines, 18);
-    assert_eq!(account.attempts, 10);
-    assert_eq!((account.in_time, account.late(), account.lost()), (1, 2, 7));
-    let reasons: Vec<(&str, Reason)> = account
+    let report = summarize_losses(&lines, 18);
+    assert_eq!(report.attempts, 10);
+    assert_eq!((report.in_time, report.late(), report.lost()), (1, 2, 7));
+    let reasons: Vec<(&str, LossReason)> = report
         .losses
         .keys()
         .map(|(kind, reason)| (kind.as_str(), *reason))
         .collect();
     for expected in [
-        ("draft", Reason::TurnedAway),
-        ("draft", Reason::NoRoom),
-        ("draft", Reason::RepairedLate),
-        ("draft", Reason::StageLost),
-        ("not known", Reason::StoreAway),
-        ("look", Reason::SlowStart),
-        ("save", Reason::Deadline),
-        ("draft", Reason::CallerGone),
-        ("draft", Reason::BudgetSpent),
+        ("draft", LossReason::TurnedAway),
+        ("draft", LossReason::NoRoom),
+        ("draft", LossReason::RepairedLate),
+        ("draft", LossReason::StageLost),
+        ("not known", LossReason::StoreAway),
+        ("look", LossReason::SlowStart),
+        ("save", LossReason::Deadline),
+        ("draft", LossReason::CallerGone),
+        ("draft", LossReason::BudgetSpent),
     ] {
         assert!(reasons.contains(&expected), "{expected:?} in {reasons:?}");
     }
 }
 
 /// The reason of one stream that ended by a limit after an engine had turned it away.
-fn reason_by(limit: &str) -> Reason {
+fn reason_by(limit: &str) -> LossReason {
     let failed = line("31", "run failed", run_failed("r1", "TurnedAway"));
-    let account = account(
+    let report = summarize_losses(
         &[failed, line("32", "stream ended", cut_off("r1", limit))],
         18,
     );
-    account.losses.keys().next().expect("it is lost").1
+    report.losses.keys().next().expect("it is lost").1
 }
 
 #[test]
 fn the_limit_that_ended_an_attempt_goes_before_the_last_try() {
     let reasons = [
-        ("budget", Reason::BudgetSpent),
-        ("turned_away", Reason::TurnedAway),
-        ("sends", Reason::SendsSpent),
-        ("endpoints", Reason::EndpointsSpent),
-        ("may_have_run", Reason::RunsOnce),
-        ("no_room", Reason::NoRoom),
-        ("no_chain", Reason::NoChain),
-        ("no_endpoint", Reason::NoChain),
-        ("deadline", Reason::Deadline),
-        ("old_table", Reason::StoreAway),
-        ("no_table", Reason::StoreAway),
-        ("stopping", Reason::Restart),
-        ("withheld", Reason::Withheld),
-        ("rate_limited", Reason::RateLimited),
+        ("budget", LossReason::BudgetSpent),
+        ("turned_away", LossReason::TurnedAway),
+        ("sends", LossReason::SendsSpent),
+        ("endpoints", LossReason::EndpointsSpent),
+        ("may_have_run", LossReason::RunsOnce),
+        ("no_room", LossReason::NoRoom),
+        ("no_chain", LossReason::NoChain),
+        ("no_endpoint", LossReason::NoChain),
+        ("deadline", LossReason::Deadline),
+        ("old_table", LossReason::StoreAway),
+        ("no_table", LossReason::StoreAway),
+        ("stopping", LossReason::Restart),
+        ("withheld", LossReason::Withheld),
+        ("rate_limited", LossReason::RateLimited),
     ];
     for (limit, reason) in reasons {
         assert_eq!(reason_by(limit), reason, "{limit}");
@@ -116,7 +116,7 @@
 
 #[test]
 fn a_limit_that_is_not_known_leaves_the_word_and_the_last_try() {
-    assert_eq!(reason_by("of_another_release"), Reason::TurnedAway);
+    assert_eq!(reason_by("of_another_release"), LossReason::TurnedAway);
 }
 
 #[actix_rt::test]
@@ -147,10 +147,10 @@
             }
             lines.push(line("02", "stream ended", stream(&request, outcome, *number, number % 2)));
         }
-        let account = account(&lines, 18);
-        prop_assert_eq!(account.attempts, ends.len() as u64);
-        prop_assert_eq!(account.in_time + account.late() + account.lost(), account.attempts);
-        let windows: u64 = account.windows.values().map(|it| it.attempts).sum();
-        prop_assert_eq!(windows, account.attempts);
+        let report = summarize_losses(&lines, 18);
+        prop_assert_eq!(report.attempts, ends.len() as u64);
+        prop_assert_eq!(report.in_time + report.late() + report.lost(), report.attempts);
+        let windows: u64 = report.windows.values().map(|it| it.attempts).sum();
+        prop_assert_eq!(windows, report.attempts);
     }
 }
