--- a/src/ctl/commands/losses.rs
+++ b/src/ctl/commands/losses.rs
@@ -1,4 +1,4 @@
-//! `fescuectl losses`: where requests were lost or late, by the logs of relaying instances.
+//! `fescuectl losses`: summarizes lost and late requests from the logs of relaying instances.
 
 use std::path::PathBuf;
 
@@ -6,81 +6,81 @@
 
 use crate::ctl::fault::CtlError;
 use crate::ctl::log_lines::read_logs;
-use crate::ctl::loss_reason::Reason;
-use crate::ctl::losses::{Account, Losses, Window, account};
+use crate::ctl::loss_reason::LossReason;
+use crate::ctl::losses::{LossGroup, LossReport, LossWindow, summarize_losses};
 use crate::ctl::report::{Report, render, table};
 
-/// Characters of a time up to its tens of seconds: windows of ten seconds.
+/// Length of a timestamp truncated to tens of seconds, which gives windows of ten seconds.
 const WINDOW_DIGITS: usize = "2026-01-07T10:05:3".len();
 
 pub(super) fn run(files: &[PathBuf]) -> Result<Report, CtlError> {
     let lines = read_logs(files)?;
-    let account = account(&lines, WINDOW_DIGITS);
-    let text = match account.attempts {
-        0 => "no line ends a request; name the logs of all instances".to_owned(),
-        _ => render_account(&account),
+    let report = summarize_losses(&lines, WINDOW_DIGITS);
+    let text = match report.attempts {
+        0 => "no log line ends a request; pass the logs of all instances".to_owned(),
+        _ => render_report(&report),
     };
-    Report::success(text, &account)
+    Report::success(text, &report)
 }
 
-fn render_account(account: &Account) -> String {
+fn render_report(report: &LossReport) -> String {
     let head = format!(
         "{} attempts: {} in time, {} late, {} lost",
-        account.attempts,
-        account.in_time,
-        account.late(),
-        account.lost()
+        report.attempts,
+        report.in_time,
+        report.late(),
+        report.lost()
     );
-    [head, render_losses(account), render_windows(account)].join("\n\n")
+    [head, render_losses(report), render_windows(report)].join("\n\n")
 }
 
-fn render_losses(account: &Account) -> String {
+fn render_losses(report: &LossReport) -> String {
     let mut table = table([
         "KIND",
         "REASON",
         "LOST",
         "LATE",
-        "AGE OF LIST ms (median, most)",
+        "LIST AGE ms (median, max)",
         "EXAMPLES",
     ]);
-    for ((kind, reason), losses) in &account.losses {
+    for ((kind, reason), losses) in &report.losses {
         table.add_row([
             kind.clone(),
             reason.name().to_owned(),
             losses.lost.to_string(),
             losses.late.to_string(),
-            ages(losses),
+            age_summary(losses),
             losses.examples.join(" "),
         ]);
     }
     render(&table)
 }
 
-fn ages(losses: &Losses) -> String {
+fn age_summary(losses: &LossGroup) -> String {
     let ages = &losses.list_ages_ms;
     match (ages.get(ages.len() / 2), ages.last()) {
-        (Some(median), Some(most)) => format!("{median}, {most}"),
+        (Some(median), Some(max)) => format!("{median}, {max}"),
         _ => "not known".to_owned(),
     }
 }
 
-fn render_windows(account: &Account) -> String {
+fn render_windows(report: &LossReport) -> String {
     let mut table = table(["FROM", "ATTEMPTS", "LOST", "LATE", "MOSTLY"]);
-    for (at, window) in &account.windows {
+    for (at, window) in &report.windows {
         table.add_row([
             format!("{at}0"),
             window.attempts.to_string(),
             window.lost.values().sum::<u64>().to_string(),
             window.late.values().sum::<u64>().to_string(),
-            mostly(window),
+            most_common_reason(window),
         ]);
     }
     render(&table)
 }
 
-/// The reason of most attempts that were lost or late in a window.
-fn mostly(window: &Window) -> String {
-    let mut sums: IndexMap<Reason, u64> = IndexMap::new();
+/// Describes the most common reason for lost and late attempts in a window.
+fn most_common_reason(window: &LossWindow) -> String {
+    let mut sums: IndexMap<LossReason, u64> = IndexMap::new();
     for (reason, count) in window.lost.iter().chain(&window.late) {
         *sums.entry(*reason).or_insert(0) += count;
     }
--- a/src/routing/slot_limit.rs
+++ b/src/routing/slot_limit.rs
@@ -6,7 +6,7 @@
 
 use crate::fairness::PIECE_COUNT;
 use crate::ids::ServiceName;
-use crate::wire::local::EntryPart;
+use crate::wire::local::EntrySlotRange;
 
 /// Number of consecutive reports in which a slot must have been free to be lent.
 const LENDING_REPORTS: usize = 3;
@@ -133,7 +133,7 @@
     /// Number of serving entries; at least 1.
     pub(crate) entries: u64,
     /// Pieces assigned by control; in services that are not listed, all entries have equal parts.
-    pub(crate) parts: Vec<EntryPart>,
+    pub(crate) parts: Vec<EntrySlotRange>,
 }
 
 impl EntrySlots {
