--- a/bench/src/bin/fescue-entry-baseline.rs
+++ b/bench/src/bin/fescue-entry-baseline.rs
@@ -51,7 +51,7 @@
         Err(error) => return usage(&error),
     };
     let shares = if args.local_shares {
-        ShareSource::OwnDemand
+        ShareSource::LocalDemand
     } else {
         ShareSource::Control
     };
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -32,7 +32,7 @@
     #[default]
     Control,
     /// From what is asked here alone: the baseline of measurements.
-    OwnDemand,
+    LocalDemand,
 }
 
 /// Limits that keep the entry's memory bounded whatever callers send.
--- a/src/entry/tests/views.rs
+++ b/src/entry/tests/views.rs
@@ -38,7 +38,7 @@
     let mut empty = snapshot(2);
     empty.documents.clear();
     entry.handle(EntryMessage::SnapshotChanged { snapshot: empty }, 10);
-    assert!(entry.ready());
+    assert!(entry.is_ready());
     assert_eq!(entry.models(Some(KEY)).unwrap().len(), 1);
 }
 
@@ -71,7 +71,7 @@
 #[test]
 fn an_entry_without_a_document_refuses_and_says_when_to_come_back() {
     let mut entry = Entry::new(config(1), FlowWeighted);
-    assert!(!entry.ready());
+    assert!(!entry.is_ready());
     let effects = arrive(&mut entry, 1, completion(KEY, "r1", 2), 10);
     assert!(matches!(
         effects.as_slice(),
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether new requests are taken.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.stopping && !self.directory.is_empty()
     }
 
--- a/src/gateway/actor.rs
+++ b/src/gateway/actor.rs
@@ -254,6 +254,6 @@
     type Result = bool;
 
     fn handle(&mut self, _: IsReady, _: &mut Self::Context) -> Self::Result {
-        self.entry.ready()
+        self.entry.is_ready()
     }
 }
