--- a/src/entry/applications.rs
+++ b/src/entry/applications.rs
@@ -1,6 +1,6 @@
 //! Calls of application services.
 
-use super::attempt::{ApplicationCall, Attempt, Repeat, Replica, Work};
+use super::attempt::{ApplicationCall, Attempt, Replica, RetrySafety, Work};
 use super::book::Answer;
 use super::machine::{Call, Entry, Flow};
 use crate::chain::MovingAverage;
@@ -8,43 +8,43 @@
 use crate::outcome::{Outcome, RefusalCode};
 use crate::routing::{EndpointFault, NoRoute, Policy};
 
-/// Longest wait for a whole reply.
-const CALL_TIMEOUT_MS: u64 = 10_000;
-/// Shortest wait of a call that may be sent again.
-const CALL_FLOOR_MS: u64 = 250;
-/// Time a call is taken for before any was measured.
-const CALL_GUESS_MS: f64 = 250.0;
-/// Mean call times to wait before a call that may be sent again is.
-const CALL_FACTOR: f64 = 4.0;
-/// Replies that say the replica could not serve the call: bad gateway, unavailable, timeout.
-const UNSERVED_STATUSES: [u16; 3] = [502, 503, 504];
+/// Maximum time to wait for a complete reply.
+const MAX_CALL_TIMEOUT_MS: u64 = 10_000;
+/// Minimum time-out of a call that may be retried.
+const MIN_CALL_TIMEOUT_MS: u64 = 250;
+/// Assumed duration of a call before any was measured.
+const INITIAL_CALL_TIME_MS: f64 = 250.0;
+/// A call that may be retried times out after this multiple of the usual call time.
+const CALL_TIMEOUT_FACTOR: f64 = 4.0;
+/// Statuses of a replica that could not serve the call: bad gateway, unavailable, gateway time-out.
+const REPLICA_FAILURE_STATUSES: [u16; 3] = [502, 503, 504];
 
 impl<P> Entry<P>
 where
     P: Policy,
 {
-    /// Starts a queued call: takes a replica's slot, then writes the claim if one is needed.
+    /// Starts a queued call: reserves a replica's slot, then writes the claim if one is needed.
     pub(super) fn start_application(
         &mut self,
         attempt: &mut Attempt,
         now_ms: u64,
     ) -> Result<Flow, NoRoute> {
-        if !self.take_replica(attempt, now_ms) {
+        if !self.reserve_replica(attempt, now_ms) {
             return Err(NoRoute::Full);
         }
         let Work::Application(call) = &attempt.work else {
-            return Ok(Flow::GoesOn);
+            return Ok(Flow::Continue);
         };
-        if call.repeat == Repeat::Anywhere {
+        if call.retry_safety == RetrySafety::AnyReplica {
             self.send_call(attempt, now_ms);
-            return Ok(Flow::GoesOn);
+            return Ok(Flow::Continue);
         }
         Ok(self.begin_claim(attempt, now_ms))
     }
 
-    /// Takes the slot of a replica that has not failed under this attempt, in place of the one
-    /// that it holds.
-    pub(super) fn take_replica(&mut self, attempt: &mut Attempt, now_ms: u64) -> bool {
+    /// Reserves the slot of a replica that has not failed during this attempt, and releases the
+    /// slot held so far.
+    pub(super) fn reserve_replica(&mut self, attempt: &mut Attempt, now_ms: u64) -> bool {
         let Work::Application(call) = &mut attempt.work else {
             return false;
         };
@@ -53,15 +53,15 @@
         }
         let picked = self
             .router
-            .reserve_replica(&attempt.service, &call.tried, now_ms);
+            .reserve_replica(&attempt.service, &call.failed_replicas, now_ms);
         call.replica = picked.map(|(endpoint, address)| Replica { endpoint, address });
         call.replica.is_some()
     }
 
-    /// Sends a call to the replica whose slot it holds.
+    /// Sends a call to the replica whose slot is reserved.
     pub(super) fn send_call(&mut self, attempt: &mut Attempt, now_ms: u64) {
         let id = attempt.id;
-        self.note_routed(attempt, 0, now_ms);
+        self.record_routed(attempt, 0, now_ms);
         let timeout_ms = self.timeout_ms(attempt, now_ms);
         let request = attempt.key.request.clone();
         let Work::Application(work) = &mut attempt.work else {
@@ -70,10 +70,10 @@
         let Some(replica) = work.replica.clone() else {
             return;
         };
-        let call = self.open_call(Call::Application { attempt: id });
-        attempt.evidence.sent(call);
+        let call = self.register_call(Call::Application { attempt: id });
+        attempt.evidence.record_sent(call);
         work.sent_at_ms = now_ms;
-        self.out.push(EntryEffect::CallApplication {
+        self.effects.push(EntryEffect::CallApplication {
             call,
             address: replica.address,
             method: work.method.clone(),
@@ -83,31 +83,32 @@
             request,
             idempotency_key: work.idempotency_key.clone(),
             timeout_ms,
-            // A pooled connection that broke would leave it unknown whether the call ran.
-            fresh_connection: !work.tried.is_empty() || work.repeat != Repeat::Anywhere,
+            // If a pooled connection broke, it would be unknown whether the call ran.
+            fresh_connection: !work.failed_replicas.is_empty()
+                || work.retry_safety != RetrySafety::AnyReplica,
         });
     }
 
-    /// How long to wait for a whole reply. A call that is not sent again gets all the time there
-    /// is: its result would stay unknown.
+    /// How long to wait for a complete reply. A non-idempotent call always gets the maximum, since
+    /// giving up on it would leave its result unknown.
     fn timeout_ms(&self, attempt: &Attempt, now_ms: u64) -> u64 {
         let Work::Application(work) = &attempt.work else {
-            return CALL_TIMEOUT_MS;
+            return MAX_CALL_TIMEOUT_MS;
         };
-        if work.repeat != Repeat::Anywhere {
-            return CALL_TIMEOUT_MS;
+        if work.retry_safety != RetrySafety::AnyReplica {
+            return MAX_CALL_TIMEOUT_MS;
         }
         let times = self.call_times_ms.get(&attempt.service);
         let usual = times
             .copied()
-            .unwrap_or_else(|| MovingAverage::new(CALL_GUESS_MS));
-        let usual_ms = usual.upper_bound(CALL_FACTOR) as u64;
+            .unwrap_or_else(|| MovingAverage::new(INITIAL_CALL_TIME_MS));
+        let usual_ms = usual.upper_bound(CALL_TIMEOUT_FACTOR) as u64;
         let left_ms = attempt.deadline.map(|it| it.at_ms.saturating_sub(now_ms));
-        let wait_ms = usual_ms.min(left_ms.unwrap_or(CALL_TIMEOUT_MS));
-        wait_ms.clamp(CALL_FLOOR_MS, CALL_TIMEOUT_MS)
+        let wait_ms = usual_ms.min(left_ms.unwrap_or(MAX_CALL_TIMEOUT_MS));
+        wait_ms.clamp(MIN_CALL_TIMEOUT_MS, MAX_CALL_TIMEOUT_MS)
     }
 
-    /// Takes what became of a call.
+    /// Handles the result of a call.
     pub(super) fn on_application_answered(
         &mut self,
         call: CallId,
@@ -120,13 +121,13 @@
         };
         self.with_attempt(attempt, |entry, attempt| match result {
             Ok(reply) => {
-                attempt.evidence.may_have_run(call);
+                attempt.evidence.record_may_have_run(call);
                 entry.on_reply(attempt, reply, now_ms)
             }
             Err(failure) => {
                 match failure {
-                    ApplicationFailure::NotSent => attempt.evidence.ran_nothing(call),
-                    ApplicationFailure::ReplyLost => attempt.evidence.may_have_run(call),
+                    ApplicationFailure::NotSent => attempt.evidence.record_not_run(call),
+                    ApplicationFailure::ReplyLost => attempt.evidence.record_may_have_run(call),
                 }
                 entry.on_call_failed(attempt, failure, now_ms)
             }
@@ -134,29 +135,29 @@
     }
 
     fn on_reply(&mut self, attempt: &mut Attempt, reply: ApplicationReply, now_ms: u64) -> Flow {
-        let unserved = UNSERVED_STATUSES.contains(&reply.status);
-        if unserved && self.send_again(attempt, EndpointFault::Refused, now_ms) {
-            return Flow::GoesOn;
+        let unserved = REPLICA_FAILURE_STATUSES.contains(&reply.status);
+        if unserved && self.retry_call(attempt, EndpointFault::Refused, now_ms) {
+            return Flow::Continue;
         }
-        self.note_call_time(attempt, now_ms);
+        self.record_call_time(attempt, now_ms);
         self.admission
             .charge(&attempt.service, &attempt.key.account, 1, now_ms);
-        self.claim_answered(attempt, &reply, now_ms);
+        self.record_claim_reply(attempt, &reply, now_ms);
         self.send_reply(attempt, reply, false, now_ms)
     }
 
-    fn note_call_time(&mut self, attempt: &Attempt, now_ms: u64) {
+    fn record_call_time(&mut self, attempt: &Attempt, now_ms: u64) {
         let Work::Application(work) = &attempt.work else {
             return;
         };
         let took_ms = now_ms.saturating_sub(work.sent_at_ms) as f64;
         let times = self.call_times_ms.entry(attempt.service.clone());
         times
-            .or_insert_with(|| MovingAverage::new(CALL_GUESS_MS))
+            .or_insert_with(|| MovingAverage::new(INITIAL_CALL_TIME_MS))
             .add(took_ms);
     }
 
-    /// Ends an attempt with an application's answer.
+    /// Ends an attempt with an application's reply.
     pub(super) fn send_reply(
         &mut self,
         attempt: &mut Attempt,
@@ -165,14 +166,14 @@
         now_ms: u64,
     ) -> Flow {
         for caller in &attempt.callers {
-            self.out.push(EntryEffect::SendReply {
+            self.effects.push(EntryEffect::SendReply {
                 caller: *caller,
                 reply: reply.clone(),
                 replayed,
             });
         }
-        self.note_completed(attempt, now_ms);
-        self.settle(attempt, Some(Answer::Reply(reply)), now_ms);
+        self.record_completed(attempt, now_ms);
+        self.finish(attempt, Some(Answer::Reply(reply)), now_ms);
         Flow::Ended
     }
 
@@ -182,31 +183,31 @@
         failure: ApplicationFailure,
         now_ms: u64,
     ) -> Flow {
-        if self.send_again(attempt, fault_of(failure), now_ms) {
-            return Flow::GoesOn;
+        if self.retry_call(attempt, fault_of(failure), now_ms) {
+            return Flow::Continue;
         }
-        self.claim_failed(attempt, failure, now_ms);
+        self.record_claim_failure(attempt, failure, now_ms);
         self.refuse(attempt, RefusalCode::EndpointFailed, now_ms);
         Flow::Ended
     }
 
-    /// Sends a failed call to another replica, where that is safe and within the retry budget.
-    fn send_again(&mut self, attempt: &mut Attempt, fault: EndpointFault, now_ms: u64) -> bool {
-        let surely_not_run = attempt.evidence.outcome() == Outcome::NotRun;
+    /// Retries a failed call on another replica if that is safe and within the retry budget.
+    fn retry_call(&mut self, attempt: &mut Attempt, fault: EndpointFault, now_ms: u64) -> bool {
+        let known_not_run = attempt.evidence.outcome() == Outcome::NotRun;
         let Work::Application(work) = &mut attempt.work else {
             return false;
         };
         if let Some(replica) = &work.replica {
             self.router.observe_fault(&replica.endpoint, fault, now_ms);
-            work.tried.push(replica.endpoint.clone());
+            work.failed_replicas.push(replica.endpoint.clone());
         }
         let in_time = attempt.deadline.is_none_or(|it| now_ms < it.at_ms);
         let again = in_time
-            && may_repeat(work, surely_not_run)
+            && may_retry(work, known_not_run)
             && self
                 .admission
                 .allow_retry(&attempt.service, &attempt.key.account, now_ms)
-            && self.take_replica(attempt, now_ms);
+            && self.reserve_replica(attempt, now_ms);
         if again {
             self.counts.count("entry.calls.retried");
             self.send_call(attempt, now_ms);
@@ -215,11 +216,11 @@
     }
 }
 
-/// Whether a failed call may be sent a second time.
-fn may_repeat(work: &ApplicationCall, surely_not_run: bool) -> bool {
-    match work.repeat {
-        Repeat::Anywhere | Repeat::Deduplicated => true,
-        Repeat::Never => surely_not_run,
+/// Whether a failed call may be retried.
+fn may_retry(work: &ApplicationCall, known_not_run: bool) -> bool {
+    match work.retry_safety {
+        RetrySafety::AnyReplica | RetrySafety::Deduplicated => true,
+        RetrySafety::OnlyIfNotRun => known_not_run,
     }
 }
 
--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,7 +1,8 @@
-//! From a caller's request to a place in the queue, a running or recorded answer, or a refusal.
+//! Admission of callers' requests: each is queued, joined to a running answer, answered from the
+//! record, or refused.
 
 use super::attempt::{Attempt, AttemptId, Work};
-use super::book::{Answer, Known, OtherDigest};
+use super::book::{Answer, DigestMismatch, RequestState};
 use super::machine::Entry;
 use super::views::not_ready;
 use crate::admission::QueueAsk;
@@ -9,16 +10,16 @@
 use crate::outcome::{Refusal, RefusalCode};
 use crate::routing::Policy;
 
-/// When callers should come back to an instance that holds as many requests as it may.
-const CROWDED_RETRY_MS: u64 = 1_000;
-/// When callers of a stopping instance should come back; other instances serve them at once.
+/// Retry delay sent by an instance that has reached its request or caller limit.
+const OVERLOADED_RETRY_MS: u64 = 1_000;
+/// Retry delay sent by a stopping instance; short, since other instances can serve at once.
 const STOPPING_RETRY_MS: u64 = 100;
 
 impl<P> Entry<P>
 where
     P: Policy,
 {
-    /// Takes a request: queued, joined, answered from the record, or refused.
+    /// Handles a new request from a caller.
     pub(super) fn on_arrived(&mut self, caller: CallerId, request: CallerRequest, now_ms: u64) {
         self.counts.count("entry.requests.arrived");
         if let Err(refusal) = self.admit(caller, request, now_ms) {
@@ -29,7 +30,8 @@
     /// Sends a refusal to one caller.
     pub(super) fn refuse_caller(&mut self, caller: CallerId, refusal: Refusal) {
         self.counts.count("entry.requests.refused");
-        self.out.push(EntryEffect::SendRefusal { caller, refusal });
+        self.effects
+            .push(EntryEffect::SendRefusal { caller, refusal });
     }
 
     fn admit(
@@ -40,13 +42,13 @@
     ) -> Result<(), Refusal> {
         self.check_size(&request.body)?;
         let attempt = self.resolve(caller, request)?;
-        match self.book.find(&attempt.key, &attempt.digest) {
-            Err(OtherDigest) => Err(Refusal::not_run(RefusalCode::KeyReused, None)),
-            Ok(Some(Known::Running(running))) => {
+        match self.requests.find(&attempt.key, &attempt.digest) {
+            Err(DigestMismatch) => Err(Refusal::not_run(RefusalCode::KeyReused, None)),
+            Ok(Some(RequestState::Running(running))) => {
                 let running = *running;
                 self.join(caller, running)
             }
-            Ok(Some(Known::Recorded(answer))) => {
+            Ok(Some(RequestState::Recorded(answer))) => {
                 let answer = answer.clone();
                 self.replay(caller, answer);
                 Ok(())
@@ -55,13 +57,13 @@
         }
     }
 
-    /// Lets a caller share a running answer: it gets every token from the first.
+    /// Adds a caller to a running answer and sends it all tokens from the first.
     fn join(&mut self, caller: CallerId, running: AttemptId) -> Result<(), Refusal> {
         let Some(attempt) = self.attempts.get_mut(&running) else {
             return Err(not_ready());
         };
-        if attempt.callers.len() >= self.config.limits.max_joined {
-            let refusal = Refusal::unknown(RefusalCode::Overloaded, Some(CROWDED_RETRY_MS));
+        if attempt.callers.len() >= self.config.limits.max_callers_per_request {
+            let refusal = Refusal::unknown(RefusalCode::Overloaded, Some(OVERLOADED_RETRY_MS));
             return Err(refusal);
         }
         attempt.callers.push(caller);
@@ -85,15 +87,15 @@
                 tokens,
                 cut_by_length,
             } => {
-                let positions = position(tokens.len());
+                let positions = saturating_u32(tokens.len());
                 self.send_tokens(caller, tokens);
-                self.out.push(EntryEffect::SendEnd {
+                self.effects.push(EntryEffect::SendEnd {
                     caller,
                     positions,
                     cut_by_length,
                 });
             }
-            Answer::Reply(reply) => self.out.push(EntryEffect::SendReply {
+            Answer::Reply(reply) => self.effects.push(EntryEffect::SendReply {
                 caller,
                 reply,
                 replayed: true,
@@ -103,22 +105,22 @@
 
     fn send_tokens(&mut self, caller: CallerId, tokens: Vec<String>) {
         for (index, text) in tokens.into_iter().enumerate() {
-            self.out.push(EntryEffect::SendToken {
+            self.effects.push(EntryEffect::SendToken {
                 caller,
-                position: position(index),
+                position: saturating_u32(index),
                 text,
             });
         }
     }
 
-    /// Queues a request that is new to the book.
+    /// Queues a request that is not registered yet.
     fn queue(&mut self, attempt: Attempt, now_ms: u64) -> Result<(), Refusal> {
         if self.stopping {
             let refusal = Refusal::not_run(RefusalCode::Stopping, Some(STOPPING_RETRY_MS));
             return Err(refusal);
         }
         if self.attempts.len() >= self.config.limits.max_attempts {
-            let refusal = Refusal::not_run(RefusalCode::Overloaded, Some(CROWDED_RETRY_MS));
+            let refusal = Refusal::not_run(RefusalCode::Overloaded, Some(OVERLOADED_RETRY_MS));
             return Err(refusal);
         }
         let ask = QueueAsk {
@@ -129,20 +131,20 @@
             deadline: attempt.deadline,
         };
         if let Err(refusal) = self.admission.offer(ask, now_ms) {
-            self.note_refused(&attempt, refusal, now_ms);
+            self.record_refused(&attempt, refusal, now_ms);
             return Err(refusal);
         }
         self.dispatch_due = true;
-        self.book
-            .open(attempt.key.clone(), attempt.digest, attempt.id);
+        self.requests
+            .insert_running(attempt.key.clone(), attempt.digest, attempt.id);
         self.callers.insert(attempt.id.0, attempt.id);
         self.attempts.insert(attempt.id, attempt);
         Ok(())
     }
 }
 
-/// A count as a position.
-pub(super) fn position(count: usize) -> u32 {
+/// Converts a count to `u32`, saturating.
+pub(super) fn saturating_u32(count: usize) -> u32 {
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One request on its way from admission to its final word.
+//! State of one request from admission to its final response.
 
 use std::net::SocketAddr;
 
@@ -9,36 +9,36 @@
 use crate::ids::{AccountId, EndpointId, IdempotencyKey, ServiceName, StreamId};
 use crate::instance::{CallId, CallerId, Deadline};
 
-/// An attempt, named after the caller that started it.
+/// Identifies an attempt by the caller that started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct AttemptId(pub(crate) CallerId);
 
-/// A request that waits or runs.
+/// A queued or running request.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    /// Its id; admission knows it under the same number.
+    /// Id; admission uses the same caller id.
     pub(crate) id: AttemptId,
     /// Account and request id.
     pub(crate) key: BookKey,
-    /// The service.
+    /// The requested service.
     pub(crate) service: ServiceName,
     /// SHA-256 over method, path and body.
     pub(crate) digest: [u8; 32],
-    /// When an answer is of no use any more.
+    /// Time after which an answer is useless to the caller.
     pub(crate) deadline: Option<Deadline>,
-    /// Callers that wait for the answer. Each has been sent the first `sent_tokens` tokens.
+    /// Callers waiting for the answer. Each has been sent the first `sent_tokens` tokens.
     pub(crate) callers: Vec<CallerId>,
-    /// Tokens sent; the next one has this position.
+    /// Number of tokens sent, and so the position of the next one.
     pub(crate) sent_tokens: u32,
-    /// When the last caller went, while there is none.
+    /// When the last caller disconnected; `None` while there are callers.
     pub(crate) orphaned_at_ms: Option<u64>,
-    /// What was sent to endpoints for it.
+    /// Calls made to endpoints for this request and what is known of them.
     pub(crate) evidence: Evidence,
-    /// What is to be done.
+    /// The work requested.
     pub(crate) work: Work,
 }
 
-/// What an attempt does.
+/// The work of an attempt.
 #[derive(Debug)]
 pub(crate) enum Work {
     /// A completion by a model.
@@ -50,22 +50,22 @@
 /// A completion.
 #[derive(Debug)]
 pub(crate) struct Completion {
-    /// The stream; one for all epochs.
+    /// Stream id, shared by all epochs.
     pub(crate) stream: StreamId,
-    /// The model as offered when the request arrived; once a chain is planned, in its version.
+    /// The model as offered when the request arrived; after planning, in the chain's version.
     pub(crate) model: ModelOffer,
     /// Adapter, if any.
     pub(crate) adapter: Option<String>,
-    /// The prompt.
+    /// Text of the prompt.
     pub(crate) prompt: String,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub(crate) prompt_tokens: u32,
-    /// Most tokens to generate; greater than 0.
+    /// Maximum number of tokens to generate; greater than 0.
     pub(crate) max_tokens: u32,
     /// The chain, once the request was dispatched.
     pub(crate) chain: Option<Chain>,
-    /// The open stream. At most one: a new epoch drops the one before.
-    pub(crate) open_call: Option<CallId>,
+    /// Call of the open stream. There is at most one: a new epoch drops the previous stream.
+    pub(crate) stream_call: Option<CallId>,
 }
 
 /// A call of an application service.
@@ -77,47 +77,47 @@
     pub(crate) path: String,
     /// `Content-Type` of the body, if any.
     pub(crate) content_type: Option<String>,
-    /// Body.
+    /// Request body.
     pub(crate) body: Vec<u8>,
     /// Idempotency key, if any.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// Whether it may be sent again.
-    pub(crate) repeat: Repeat,
+    /// Whether the call may be retried.
+    pub(crate) retry_safety: RetrySafety,
     /// The replica whose slot is held, if any.
     pub(crate) replica: Option<Replica>,
-    /// Replicas that failed under this attempt.
-    pub(crate) tried: Vec<EndpointId>,
+    /// Replicas that failed during this attempt.
+    pub(crate) failed_replicas: Vec<EndpointId>,
     /// When it was last sent.
     pub(crate) sent_at_ms: u64,
 }
 
-/// Whether a call whose reply was lost may be sent again.
+/// Whether a call whose reply was lost may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
+pub(crate) enum RetrySafety {
     /// Idempotent: to any replica.
-    Anywhere,
+    AnyReplica,
     /// Non-idempotent, but the service deduplicates by idempotency key: to any replica.
     Deduplicated,
-    /// Non-idempotent: only if it surely did not run.
-    Never,
+    /// Non-idempotent: only if it certainly did not run.
+    OnlyIfNotRun,
 }
 
 /// A replica whose slot is held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Replica {
-    /// The endpoint.
+    /// The reserved endpoint.
     pub(crate) endpoint: EndpointId,
-    /// Its address.
+    /// Address of the endpoint.
     pub(crate) address: SocketAddr,
 }
 
 impl Attempt {
-    /// The account that asked.
+    /// The account that made the request.
     pub(crate) fn account(&self) -> &AccountId {
         &self.key.account
     }
 
-    /// Whether it goes on without callers: a call that was begun ends and is recorded.
+    /// Whether it continues without callers: a call that was started completes and is recorded.
     pub(crate) fn outlives_callers(&self) -> bool {
         match &self.work {
             Work::Completion(_) => false,
--- a/src/entry/book.rs
+++ b/src/entry/book.rs
@@ -1,7 +1,7 @@
-//! The request book: which requests run here, and the answers of those that ended lately.
+//! The request registry: running requests and recently recorded answers.
 //!
-//! Entries are bound to the account that asked. A caller that comes back under the same request id
-//! joins the running answer or gets the recorded one.
+//! Records are bound to the account that made the request. A caller that reconnects with the same
+//! request id joins the running answer or gets the recorded one.
 
 use std::collections::VecDeque;
 
@@ -12,100 +12,100 @@
 use crate::ids::{AccountId, RequestId};
 use crate::instance::ApplicationReply;
 
-/// A request as the book knows it.
+/// Registry key of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct BookKey {
-    /// The account that asked.
+    /// The account that made the request.
     pub(crate) account: AccountId,
-    /// The id it chose.
+    /// The request id chosen by the caller.
     pub(crate) request: RequestId,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Answer {
-    /// Of a model.
+    /// Answer of a model.
     Completion {
         /// Every token, in order.
         tokens: Vec<String>,
-        /// Whether `max_tokens` ended it.
+        /// Whether `max_tokens` was reached.
         cut_by_length: bool,
     },
-    /// Of an application endpoint.
+    /// Reply of an application endpoint.
     Reply(ApplicationReply),
 }
 
-/// What the book knows of a request.
+/// State of a registered request.
 #[derive(Clone, Debug)]
-pub(crate) enum Known {
-    /// It runs.
+pub(crate) enum RequestState {
+    /// The request is queued or running.
     Running(AttemptId),
-    /// It was answered.
+    /// The request was answered.
     Recorded(Answer),
 }
 
 #[derive(Clone, Debug)]
-struct Page {
+struct RequestRecord {
     digest: [u8; 32],
-    known: Known,
-    /// Tells a page from an earlier one of the same key.
-    number: u64,
+    state: RequestState,
+    /// Distinguishes a record from earlier ones with the same key.
+    generation: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct RetainedAnswer {
     key: BookKey,
-    number: u64,
-    until_ms: u64,
+    generation: u64,
+    expires_at_ms: u64,
     size_bytes: usize,
 }
 
-/// Another request was made under the same id.
+/// A different request was made under the same id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct OtherDigest;
+pub(crate) struct DigestMismatch;
 
-/// The request book.
+/// Running requests and recorded answers, by account and request id.
 #[derive(Debug, Default)]
-pub(crate) struct RequestBook {
-    pages: IndexMap<BookKey, Page>,
-    /// Recorded pages, oldest first; their sizes add up to `kept_bytes`.
-    kept: VecDeque<Kept>,
-    kept_bytes: usize,
-    next_number: u64,
+pub(crate) struct RequestRegistry {
+    records: IndexMap<BookKey, RequestRecord>,
+    /// Recorded answers, oldest first; their sizes add up to `retained_bytes`.
+    retained: VecDeque<RetainedAnswer>,
+    retained_bytes: usize,
+    next_generation: u64,
 }
 
-impl RequestBook {
-    /// Looks a request up. An answer older than its time is not found.
+impl RequestRegistry {
+    /// Looks up a request. Expired answers are not found.
     pub(crate) fn find(
         &self,
         key: &BookKey,
         digest: &[u8; 32],
-    ) -> Result<Option<&Known>, OtherDigest> {
-        match self.pages.get(key) {
+    ) -> Result<Option<&RequestState>, DigestMismatch> {
+        match self.records.get(key) {
             None => Ok(None),
-            Some(page) if page.digest == *digest => Ok(Some(&page.known)),
-            Some(_) => Err(OtherDigest),
+            Some(record) if record.digest == *digest => Ok(Some(&record.state)),
+            Some(_) => Err(DigestMismatch),
         }
     }
 
-    /// Notes that a request runs.
-    pub(crate) fn open(&mut self, key: BookKey, digest: [u8; 32], attempt: AttemptId) {
-        self.next_number += 1;
-        let page = Page {
+    /// Registers a running request.
+    pub(crate) fn insert_running(&mut self, key: BookKey, digest: [u8; 32], attempt: AttemptId) {
+        self.next_generation += 1;
+        let record = RequestRecord {
             digest,
-            known: Known::Running(attempt),
-            number: self.next_number,
+            state: RequestState::Running(attempt),
+            generation: self.next_generation,
         };
-        self.pages.insert(key, page);
+        self.records.insert(key, record);
     }
 
-    /// Forgets a request that ended without an answer.
-    pub(crate) fn forget(&mut self, key: &BookKey) {
-        self.pages.swap_remove(key);
+    /// Removes a request that ended without an answer.
+    pub(crate) fn remove(&mut self, key: &BookKey) {
+        self.records.swap_remove(key);
     }
 
-    /// Records the answer of a running request; the oldest ones make room.
-    pub(crate) fn record(
+    /// Records the answer of a running request, evicting the oldest answers above the size limit.
+    pub(crate) fn record_answer(
         &mut self,
         key: BookKey,
         answer: Answer,
@@ -113,47 +113,47 @@
         now_ms: u64,
     ) {
         let size_bytes = answer_bytes(&answer) + key_bytes(&key);
-        let Some(page) = self.pages.get_mut(&key) else {
+        let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        page.known = Known::Recorded(answer);
-        let number = page.number;
-        self.kept_bytes += size_bytes;
-        self.kept.push_back(Kept {
+        record.state = RequestState::Recorded(answer);
+        let generation = record.generation;
+        self.retained_bytes += size_bytes;
+        self.retained.push_back(RetainedAnswer {
             key,
-            number,
-            until_ms: now_ms + limits.recorded_ms,
+            generation,
+            expires_at_ms: now_ms + limits.recorded_ttl_ms,
             size_bytes,
         });
-        while self.kept_bytes > limits.recorded_bytes {
+        while self.retained_bytes > limits.max_recorded_bytes {
             self.drop_oldest();
         }
     }
 
-    /// Drops answers whose time is over.
+    /// Drops expired answers.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         while self
-            .kept
+            .retained
             .front()
-            .is_some_and(|kept| kept.until_ms <= now_ms)
+            .is_some_and(|answer| answer.expires_at_ms <= now_ms)
         {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        let Some(kept) = self.kept.pop_front() else {
+        let Some(retained) = self.retained.pop_front() else {
             return;
         };
-        self.kept_bytes -= kept.size_bytes;
-        let page = self.pages.get(&kept.key);
-        if page.is_some_and(|page| page.number == kept.number) {
-            self.pages.swap_remove(&kept.key);
+        self.retained_bytes -= retained.size_bytes;
+        let record = self.records.get(&retained.key);
+        if record.is_some_and(|record| record.generation == retained.generation) {
+            self.records.swap_remove(&retained.key);
         }
     }
 }
 
-/// Memory beside the bytes of each token or reply.
+/// Estimated memory overhead per token or reply.
 const OVERHEAD_BYTES: usize = 32;
 
 fn answer_bytes(answer: &Answer) -> usize {
--- a/src/entry/claimed.rs
+++ b/src/entry/claimed.rs
@@ -1,11 +1,11 @@
-//! Non-idempotent calls: carries the effects of their claims out.
+//! Non-idempotent calls: starts claims and executes their effects.
 
 use std::collections::VecDeque;
 
 use rand::RngExt;
 use uuid::Uuid;
 
-use super::attempt::{Attempt, AttemptId, Repeat, Work};
+use super::attempt::{Attempt, AttemptId, RetrySafety, Work};
 use super::machine::{Call, Entry, Flow};
 use crate::claims::{Claim, ClaimEffect, ClaimHolder, ClaimMessage, ClaimRequest};
 use crate::clients::TableFailure;
@@ -16,16 +16,16 @@
 use crate::outcome::RefusalCode;
 use crate::routing::Policy;
 
-/// How long the table service has to answer.
+/// Time limit of a call to the table service.
 const TABLE_TIMEOUT_MS: u64 = 1_000;
-/// How long the holder of a claim has to answer.
+/// Time limit of a request to the holder of a claim.
 const HOLDER_TIMEOUT_MS: u64 = 500;
 
 /// A claim that is not settled yet.
 #[derive(Debug)]
 pub(super) struct OpenClaim {
     claim: Claim,
-    /// Whether `Dispatch` was carried out; it never is twice.
+    /// Whether `Dispatch` was executed; it must not be executed twice.
     dispatched: bool,
 }
 
@@ -33,16 +33,16 @@
 where
     P: Policy,
 {
-    /// Begins the claim of a call whose replica is picked.
+    /// Begins the claim of a call that holds a replica slot.
     pub(super) fn begin_claim(&mut self, attempt: &mut Attempt, now_ms: u64) -> Flow {
         let Work::Application(work) = &attempt.work else {
-            return Flow::GoesOn;
+            return Flow::Continue;
         };
         let Some(key) = work.idempotency_key.clone() else {
             self.refuse(attempt, RefusalCode::MissingHeader, now_ms);
             return Flow::Ended;
         };
-        let ask = ClaimRequest {
+        let request = ClaimRequest {
             account: attempt.key.account.clone(),
             service: attempt.service.clone(),
             key,
@@ -54,74 +54,74 @@
                 incarnation: self.config.incarnation,
             },
             at_unix_ms: self.unix_ms(now_ms),
-            endpoint_deduplicates: work.repeat == Repeat::Deduplicated,
+            endpoint_deduplicates: work.retry_safety == RetrySafety::Deduplicated,
             deadline: attempt.deadline,
         };
-        let (claim, effects) = Claim::begin(ask, now_ms);
+        let (claim, effects) = Claim::begin(request, now_ms);
         let open = OpenClaim {
             claim,
             dispatched: false,
         };
         self.claims.insert(attempt.id, open);
-        self.carry_claim(attempt.id, Some(attempt), effects, now_ms)
+        self.apply_claim_effects(attempt.id, Some(attempt), effects, now_ms)
     }
 
-    /// Tells the claim of an attempt that the endpoint answered.
-    pub(super) fn claim_answered(
+    /// Passes the endpoint's reply to the claim of an attempt.
+    pub(super) fn record_claim_reply(
         &mut self,
         attempt: &mut Attempt,
         reply: &ApplicationReply,
         now_ms: u64,
     ) {
-        self.tell_own_claim(attempt, ClaimMessage::Answered(reply.clone()), now_ms);
+        self.update_own_claim(attempt, ClaimMessage::Answered(reply.clone()), now_ms);
     }
 
-    /// Tells the claim of an attempt that its call has no answer and is not sent again.
-    pub(super) fn claim_failed(
+    /// Reports to the claim of an attempt that its call failed and will not be retried.
+    pub(super) fn record_claim_failure(
         &mut self,
         attempt: &mut Attempt,
         failure: ApplicationFailure,
         now_ms: u64,
     ) {
-        let surely_not = attempt.evidence.outcome() == crate::outcome::Outcome::NotRun;
+        let known_not_run = attempt.evidence.outcome() == crate::outcome::Outcome::NotRun;
         let message = match failure {
-            ApplicationFailure::NotSent if surely_not => ClaimMessage::NotDispatched,
+            ApplicationFailure::NotSent if known_not_run => ClaimMessage::NotDispatched,
             _ => ClaimMessage::ResultUnknown,
         };
-        self.tell_own_claim(attempt, message, now_ms);
+        self.update_own_claim(attempt, message, now_ms);
     }
 
-    /// Hands a message to the claim of an attempt that gets its final word from the entry.
-    fn tell_own_claim(&mut self, attempt: &Attempt, message: ClaimMessage, now_ms: u64) {
+    /// Passes a message to the claim of an attempt whose final response the entry itself sends.
+    fn update_own_claim(&mut self, attempt: &Attempt, message: ClaimMessage, now_ms: u64) {
         if let Some(open) = self.claims.get_mut(&attempt.id) {
             let effects = open.claim.handle(message, now_ms);
-            self.carry_claim(attempt.id, None, effects, now_ms);
+            self.apply_claim_effects(attempt.id, None, effects, now_ms);
         }
     }
 
-    /// Hands a message to a claim whose attempt may have ended.
-    fn tell_claim(&mut self, id: AttemptId, message: ClaimMessage, now_ms: u64) {
+    /// Passes a message to a claim whose attempt may have ended.
+    fn handle_claim_message(&mut self, id: AttemptId, message: ClaimMessage, now_ms: u64) {
         let Some(open) = self.claims.get_mut(&id) else {
             return;
         };
         let effects = open.claim.handle(message, now_ms);
         if self.attempts.contains_key(&id) {
             self.with_attempt(id, |entry, attempt| {
-                entry.carry_claim(id, Some(attempt), effects, now_ms)
+                entry.apply_claim_effects(id, Some(attempt), effects, now_ms)
             });
         } else {
-            self.carry_claim(id, None, effects, now_ms);
+            self.apply_claim_effects(id, None, effects, now_ms);
         }
     }
 
-    fn carry_claim(
+    fn apply_claim_effects(
         &mut self,
         id: AttemptId,
         mut attempt: Option<&mut Attempt>,
         effects: Vec<ClaimEffect>,
         now_ms: u64,
     ) -> Flow {
-        let mut flow = Flow::GoesOn;
+        let mut flow = Flow::Continue;
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
@@ -136,12 +136,12 @@
                     claim,
                 } => {
                     if instance == self.config.instance {
-                        let working = Some(self.holds(incarnation, &claim));
+                        let working = Some(self.holds_claim(incarnation, &claim));
                         let message = ClaimMessage::HolderAnswered(working);
-                        effects.extend(self.step_claim(id, message, now_ms));
+                        effects.extend(self.advance_claim(id, message, now_ms));
                     } else {
-                        let call = self.open_call(Call::Holder { attempt: id });
-                        self.out.push(EntryEffect::AskHolder {
+                        let call = self.register_call(Call::Holder { attempt: id });
+                        self.effects.push(EntryEffect::AskHolder {
                             call,
                             instance,
                             address,
@@ -154,7 +154,7 @@
                 ClaimEffect::Dispatch => effects.extend(match attempt.as_deref_mut() {
                     Some(attempt) => self.dispatch_claimed(attempt, now_ms),
                     // The attempt ended before its claim was granted: the claim is released.
-                    None => self.step_claim(id, ClaimMessage::NotDispatched, now_ms),
+                    None => self.advance_claim(id, ClaimMessage::NotDispatched, now_ms),
                 }),
                 ClaimEffect::Replay(reply) => {
                     if let Some(attempt) = attempt.take() {
@@ -175,8 +175,8 @@
         flow
     }
 
-    /// Hands a message to a claim; its effects are the caller's to carry out.
-    fn step_claim(
+    /// Passes a message to a claim and returns its effects for the caller to execute.
+    fn advance_claim(
         &mut self,
         id: AttemptId,
         message: ClaimMessage,
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Sends a claimed call. The replica is picked anew: the one picked before the claim was
-    /// written may have left since.
+    /// Sends a claimed call. Selects a replica again, since the one selected before the claim was
+    /// written may have left in the meantime.
     fn dispatch_claimed(&mut self, attempt: &mut Attempt, now_ms: u64) -> Vec<ClaimEffect> {
         let Some(open) = self.claims.get_mut(&attempt.id) else {
             return Vec::new();
@@ -198,8 +198,8 @@
             crate::invariant::violated("claim.dispatched_once", attempt.id.0.0);
             return Vec::new();
         }
-        if !self.take_replica(attempt, now_ms) {
-            return self.step_claim(attempt.id, ClaimMessage::NotDispatched, now_ms);
+        if !self.reserve_replica(attempt, now_ms) {
+            return self.advance_claim(attempt.id, ClaimMessage::NotDispatched, now_ms);
         }
         if let Some(open) = self.claims.get_mut(&attempt.id) {
             open.dispatched = true;
@@ -209,58 +209,59 @@
     }
 
     fn call_table(&mut self, id: AttemptId, table: TableCall) {
-        let call = self.open_call(Call::Table {
+        let call = self.register_call(Call::Table {
             attempt: id,
-            reads: matches!(table, TableCall::Read(_)),
+            is_read: matches!(table, TableCall::Read(_)),
         });
-        self.out.push(EntryEffect::CallTable {
+        self.effects.push(EntryEffect::CallTable {
             call,
             table,
             timeout_ms: TABLE_TIMEOUT_MS,
         });
     }
 
-    /// Takes the table service's answer.
+    /// Handles a reply of the table service.
     pub(super) fn on_table_answered(
         &mut self,
         call: CallId,
         result: Result<TableReply, TableFailure>,
         now_ms: u64,
     ) {
-        let Some(Call::Table { attempt, reads }) = self.calls.swap_remove(&call) else {
+        let Some(Call::Table { attempt, is_read }) = self.calls.swap_remove(&call) else {
             return;
         };
         let message = match result {
             Ok(TableReply::Transacted(reply)) => ClaimMessage::Transacted(Ok(reply)),
             Ok(TableReply::Read(rows)) => ClaimMessage::ReadBack(Ok(rows)),
-            Err(failure) if reads => ClaimMessage::ReadBack(Err(failure)),
+            Err(failure) if is_read => ClaimMessage::ReadBack(Err(failure)),
             Err(failure) => ClaimMessage::Transacted(Err(failure)),
         };
-        self.tell_claim(attempt, message, now_ms);
+        self.handle_claim_message(attempt, message, now_ms);
     }
 
-    /// Takes the answer of a claim's holder.
+    /// Handles the reply of a claim's holder.
     pub(super) fn on_holder_answered(&mut self, call: CallId, working: Option<bool>, now_ms: u64) {
         let Some(Call::Holder { attempt }) = self.calls.swap_remove(&call) else {
             return;
         };
-        self.tell_claim(attempt, ClaimMessage::HolderAnswered(working), now_ms);
+        self.handle_claim_message(attempt, ClaimMessage::HolderAnswered(working), now_ms);
     }
 
-    /// Answers another entry that asks about a claim.
+    /// Answers another entry's query whether this process works on a claim.
     pub(super) fn on_holder_asked(&mut self, call: CallId, incarnation: Incarnation, claim: &str) {
-        let working = self.holds(incarnation, claim);
-        self.out.push(EntryEffect::AnswerHolder { call, working });
+        let working = self.holds_claim(incarnation, claim);
+        self.effects
+            .push(EntryEffect::AnswerHolder { call, working });
     }
 
-    /// Whether this process is that incarnation and works on a claim.
-    pub(super) fn holds(&self, incarnation: Incarnation, row_key: &str) -> bool {
+    /// Whether this process has that incarnation and works on the claim.
+    pub(super) fn holds_claim(&self, incarnation: Incarnation, row_key: &str) -> bool {
         let mut open = self.claims.values();
         incarnation == self.config.incarnation
             && open.any(|open| open.claim.row_key() == row_key && open.claim.may_hold_row())
     }
 
-    /// Wakes the claims whose time has come.
+    /// Wakes the claims whose timers are due.
     pub(super) fn wake_claims(&mut self, now_ms: u64) {
         let is_due = |open: &OpenClaim| {
             let wake_at_ms = open.claim.wake_at_ms();
@@ -269,7 +270,7 @@
         let claims = self.claims.iter().filter(|(_, open)| is_due(open));
         let due: Vec<AttemptId> = claims.map(|(id, _)| *id).collect();
         for id in due {
-            self.tell_claim(id, ClaimMessage::Wake, now_ms);
+            self.handle_claim_message(id, ClaimMessage::Wake, now_ms);
         }
     }
 }
--- a/src/entry/completions.rs
+++ b/src/entry/completions.rs
@@ -1,4 +1,4 @@
-//! Completions: carries the effects of a chain out.
+//! Completions: starts chains and executes their effects.
 
 use std::collections::VecDeque;
 
@@ -16,18 +16,19 @@
 where
     P: Policy,
 {
-    /// Starts the chain of a queued completion; nothing changes if there is no route.
+    /// Starts the chain of a queued completion. Leaves the attempt unchanged if there is no route.
     pub(super) fn start_completion(
         &mut self,
         attempt: &mut Attempt,
         now_ms: u64,
     ) -> Result<Flow, NoRoute> {
         let Work::Completion(completion) = &mut attempt.work else {
-            return Ok(Flow::GoesOn);
+            return Ok(Flow::Continue);
         };
         let (offer, stages) = self.plan_any_version(&attempt.service, completion, now_ms)?;
         completion.model = offer;
-        let expected = self.expected(&completion.model.name, &stages, completion.prompt_tokens);
+        let expected =
+            self.expected_timing(&completion.model.name, &stages, completion.prompt_tokens);
         let spec = ChainSpec {
             stream: completion.stream,
             request: attempt.key.request.clone(),
@@ -47,11 +48,11 @@
             prompt_tokens,
             now_ms,
         );
-        Ok(self.carry_out(attempt, effects, now_ms))
+        Ok(self.apply_chain_effects(attempt, effects, now_ms))
     }
 
-    /// Plans a chain of the version offered or, while engines change, of one that others still
-    /// hold. The answer then comes from that version as a whole.
+    /// Plans a chain of the offered model version or, during a version change, of another version
+    /// that engines still hold. The complete answer then comes from that version.
     fn plan_any_version(
         &mut self,
         service: &ServiceName,
@@ -60,7 +61,7 @@
     ) -> Result<(ModelOffer, Vec<Stage>), NoRoute> {
         let mut failure = NoRoute::Incomplete;
         for offer in self.router.loaded_offers(service, &completion.model) {
-            let ask = RouteRequest {
+            let route_request = RouteRequest {
                 stream: completion.stream,
                 service,
                 model: &offer,
@@ -69,7 +70,7 @@
                 previous: &[],
                 exclude: &[],
             };
-            match self.router.plan(&ask, now_ms) {
+            match self.router.plan(&route_request, now_ms) {
                 Ok(stages) => return Ok((offer, stages)),
                 Err(NoRoute::Full) => failure = NoRoute::Full,
                 Err(NoRoute::Incomplete) => {}
@@ -78,7 +79,7 @@
         Err(failure)
     }
 
-    fn expected(&self, model: &str, stages: &[Stage], tokens: u32) -> ExpectedTiming {
+    fn expected_timing(&self, model: &str, stages: &[Stage], tokens: u32) -> ExpectedTiming {
         let history = self.prefill.get(model).copied().unwrap_or_default();
         ExpectedTiming {
             gap_ms: self.router.expected_gap_ms(stages),
@@ -88,8 +89,8 @@
         }
     }
 
-    /// Hands a message to the chain of an attempt.
-    pub(super) fn tell_chain(
+    /// Passes a message to the chain of an attempt and executes the resulting effects.
+    pub(super) fn handle_chain_message(
         &mut self,
         attempt: &mut Attempt,
         message: ChainMessage,
@@ -99,10 +100,15 @@
             Some(chain) => chain.handle(message, now_ms),
             None => Vec::new(),
         };
-        self.carry_out(attempt, effects, now_ms)
+        self.apply_chain_effects(attempt, effects, now_ms)
     }
 
-    fn carry_out(&mut self, attempt: &mut Attempt, effects: Vec<ChainEffect>, now_ms: u64) -> Flow {
+    fn apply_chain_effects(
+        &mut self,
+        attempt: &mut Attempt,
+        effects: Vec<ChainEffect>,
+        now_ms: u64,
+    ) -> Flow {
         let mut effects = VecDeque::from(effects);
         while let Some(effect) = effects.pop_front() {
             match effect {
@@ -120,13 +126,13 @@
                     self.refuse(attempt, code, now_ms);
                     return Flow::Ended;
                 }
-                other => self.carry_out_one(attempt, other, now_ms),
+                other => self.apply_chain_effect(attempt, other, now_ms),
             }
         }
-        Flow::GoesOn
+        Flow::Continue
     }
 
-    fn carry_out_one(&mut self, attempt: &mut Attempt, effect: ChainEffect, now_ms: u64) {
+    fn apply_chain_effect(&mut self, attempt: &mut Attempt, effect: ChainEffect, now_ms: u64) {
         match effect {
             ChainEffect::Open {
                 open,
@@ -134,7 +140,7 @@
             } => self.open_stream(attempt, open, fresh_connection, now_ms),
             ChainEffect::Cancel { address, epoch } => {
                 if let Some(stream) = stream_of(attempt) {
-                    self.out.push(EntryEffect::CancelStream {
+                    self.effects.push(EntryEffect::CancelStream {
                         address,
                         stream,
                         epoch,
@@ -151,13 +157,13 @@
                 let Some(stream) = stream_of(attempt) else {
                     return;
                 };
-                let call = self.open_call(Call::Probe {
+                let call = self.register_call(Call::Probe {
                     attempt: attempt.id,
                     round,
                     stage,
                     sent_at_ms: now_ms,
                 });
-                self.out.push(EntryEffect::ProbeStream {
+                self.effects.push(EntryEffect::ProbeStream {
                     call,
                     address,
                     stream,
@@ -167,7 +173,7 @@
             ChainEffect::Fault { endpoint, fault } => {
                 self.counts.count("entry.faults");
                 self.router.observe_fault(&endpoint, fault, now_ms);
-                self.look_again();
+                self.request_dispatch();
             }
             ChainEffect::Token {
                 position,
@@ -180,12 +186,12 @@
                     self.prefill.entry(model).or_default().add(took_ms, tokens);
                 }
             }
-            ChainEffect::Dropped(cause) => self.counts.count(dropped_name(cause)),
+            ChainEffect::Dropped(cause) => self.counts.count(drop_counter_name(cause)),
             ChainEffect::Plan { .. } | ChainEffect::Done { .. } | ChainEffect::GiveUp { .. } => {}
         }
     }
 
-    /// Looks for stages of the next epoch.
+    /// Plans the stages of the next epoch.
     fn replan(
         &mut self,
         attempt: &mut Attempt,
@@ -204,7 +210,7 @@
             self.counts.count("entry.retries.denied");
             return ChainMessage::RetryDenied;
         }
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             stream: completion.stream,
             service: &attempt.service,
             model: &completion.model,
@@ -213,16 +219,16 @@
             previous: chain.stages(),
             exclude,
         };
-        match self.router.plan(&ask, now_ms) {
+        match self.router.plan(&route_request, now_ms) {
             Ok(stages) => {
                 if is_retry {
-                    // Only now: asking again while there are no stages costs nobody anything.
+                    // Charged only once a route exists: a retry without stages causes no load.
                     self.admission
                         .allow_retry(&attempt.service, account, now_ms);
                 }
                 self.counts.count("entry.rebuilds");
                 let tokens = chain.tokens_to_compute();
-                let expected = self.expected(&completion.model.name, &stages, tokens);
+                let expected = self.expected_timing(&completion.model.name, &stages, tokens);
                 ChainMessage::Planned { stages, expected }
             }
             Err(reason) => ChainMessage::NoRoute { reason },
@@ -235,9 +241,9 @@
         };
         let tokens = completion.chain.take().map(Chain::into_tokens);
         let tokens = tokens.unwrap_or_default();
-        let positions = super::arrival::position(tokens.len());
+        let positions = super::arrival::saturating_u32(tokens.len());
         for caller in &attempt.callers {
-            self.out.push(EntryEffect::SendEnd {
+            self.effects.push(EntryEffect::SendEnd {
                 caller: *caller,
                 positions,
                 cut_by_length,
@@ -247,11 +253,11 @@
             tokens,
             cut_by_length,
         };
-        self.note_completed(attempt, now_ms);
-        self.settle(attempt, Some(answer), now_ms);
+        self.record_completed(attempt, now_ms);
+        self.finish(attempt, Some(answer), now_ms);
     }
 
-    /// Wakes the chains whose time has come.
+    /// Wakes the chains whose timers are due.
     pub(super) fn wake_chains(&mut self, now_ms: u64) {
         let is_due = |attempt: &Attempt| match &attempt.work {
             Work::Completion(completion) => {
@@ -270,9 +276,9 @@
     fn wake_chain(&mut self, attempt: &mut Attempt, now_ms: u64) -> Flow {
         let gap_ms = match chain_of(attempt) {
             Some(chain) => self.router.expected_gap_ms(chain.stages()),
-            None => return Flow::GoesOn,
+            None => return Flow::Continue,
         };
-        self.tell_chain(attempt, ChainMessage::Wake { gap_ms }, now_ms)
+        self.handle_chain_message(attempt, ChainMessage::Wake { gap_ms }, now_ms)
     }
 }
 
@@ -294,7 +300,7 @@
     }
 }
 
-fn dropped_name(cause: DropCause) -> &'static str {
+fn drop_counter_name(cause: DropCause) -> &'static str {
     match cause {
         DropCause::OtherEpoch => "entry.events.other_epoch",
         DropCause::Repeated => "entry.events.repeated",
--- a/src/entry/config.rs
+++ b/src/entry/config.rs
@@ -1,4 +1,4 @@
-//! What an entry is told when its process starts.
+//! Configuration of an entry process.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where callers and other entries connect.
+    /// Address that callers and other entries connect to.
     pub advertise: SocketAddr,
     /// This process lifetime.
     pub incarnation: Incarnation,
@@ -19,7 +19,7 @@
     pub seed: u64,
     /// Unix time at `now_ms == 0`, in milliseconds.
     pub unix_at_start_ms: u64,
-    /// Limits.
+    /// Limits on requests and memory.
     pub limits: EntryLimits,
     /// Where the accounts' shares come from.
     pub shares: ShareSource,
@@ -28,28 +28,28 @@
 /// Where an entry takes the accounts' shares from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ShareSource {
-    /// From control, which knows the demand at every entry.
+    /// From the control, which knows the demand at all entries.
     #[default]
     Control,
-    /// From what is asked here alone: the baseline of measurements.
+    /// From the demand at this entry alone; the baseline in benchmarks.
     LocalDemand,
 }
 
-/// Limits that keep the entry's memory bounded whatever callers send.
+/// Limits that bound the entry's memory regardless of what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EntryLimits {
-    /// Largest prompt or body of a request.
+    /// Maximum size of a request's prompt or body.
     pub max_body_bytes: usize,
-    /// Largest `max_tokens` of a completion.
+    /// Maximum value of `max_tokens` in a completion.
     pub max_tokens: u32,
-    /// Most requests waiting and running at once.
+    /// Maximum number of queued and running requests.
     pub max_attempts: usize,
-    /// Most callers that share one running answer.
-    pub max_joined: usize,
-    /// Size of all recorded answers together.
-    pub recorded_bytes: usize,
-    /// How long an answer is recorded.
-    pub recorded_ms: u64,
+    /// Maximum number of callers that share one running answer.
+    pub max_callers_per_request: usize,
+    /// Maximum total size of all recorded answers.
+    pub max_recorded_bytes: usize,
+    /// How long a recorded answer is kept.
+    pub recorded_ttl_ms: u64,
 }
 
 impl Default for EntryLimits {
@@ -58,9 +58,9 @@
             max_body_bytes: 1 << 20,
             max_tokens: 1 << 16,
             max_attempts: 20_000,
-            max_joined: 64,
-            recorded_bytes: 32 << 20,
-            recorded_ms: 300_000,
+            max_callers_per_request: 64,
+            max_recorded_bytes: 32 << 20,
+            recorded_ttl_ms: 300_000,
         }
     }
 }
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -1,4 +1,4 @@
-//! The documents in force, indexed by what a request names.
+//! The documents in force, indexed by API key and model name.
 
 use indexmap::IndexMap;
 
@@ -8,31 +8,31 @@
 use crate::outcome::{Refusal, RefusalCode};
 use crate::wire::local::DocumentInForce;
 
-/// Documents by service, with the indexes that requests are resolved by.
+/// Documents by service, with the indexes used to resolve requests.
 #[derive(Debug, Default)]
 pub(crate) struct Directory {
-    /// Revisions only grow.
+    /// Revisions in force; a revision never decreases.
     revisions: IndexMap<ServiceName, u64>,
     documents: IndexMap<ServiceName, Document>,
-    /// Revisions that did not check; they are not read again.
-    faulty: IndexMap<ServiceName, u64>,
-    /// Which accounts a key belongs to. Looking a digest up takes a time that depends on the digest
-    /// alone: it tells nothing of the key, since SHA-256 cannot be steered towards a listed digest.
+    /// Revisions that failed validation; they are not parsed again.
+    invalid_revisions: IndexMap<ServiceName, u64>,
+    /// Accounts of each key. The lookup time depends only on the digest and reveals nothing about
+    /// the key, since SHA-256 inputs cannot be chosen to approach a listed digest.
     keys: IndexMap<KeyDigest, Vec<(ServiceName, AccountId)>>,
-    /// Model names are unique in the fleet; the first document to name one keeps it.
+    /// Model names are unique in the fleet; the first document that names one owns it.
     models: IndexMap<String, ServiceName>,
 }
 
-/// What became of one document of a snapshot.
+/// Result of applying one document of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DocumentChange {
-    /// It is in force now.
+    /// The document is now in force.
     Accepted,
-    /// It was in force, or refused, already.
-    Known,
-    /// A higher revision is in force; it was left out.
+    /// The revision was already in force or already rejected.
+    Unchanged,
+    /// A higher revision is in force; the document was ignored.
     Older,
-    /// It does not check; what was in force stays.
+    /// Validation failed; the previous document stays in force.
     Faulty,
 }
 
@@ -52,45 +52,48 @@
         &self.revisions
     }
 
-    /// Takes the documents of a snapshot, each parsed once per revision. A service that the
-    /// snapshot leaves out keeps its document.
+    /// Applies the documents of a snapshot, parsing each revision once. A service missing from the
+    /// snapshot keeps its document.
     pub(crate) fn update(&mut self, offered: &[DocumentInForce]) -> Vec<DocumentChange> {
-        let changes: Vec<DocumentChange> = offered.iter().map(|one| self.take(one)).collect();
+        let changes: Vec<DocumentChange> = offered.iter().map(|one| self.accept(one)).collect();
         if changes.contains(&DocumentChange::Accepted) {
-            self.index();
+            self.rebuild_indexes();
         }
         changes
     }
 
-    fn take(&mut self, offered: &DocumentInForce) -> DocumentChange {
+    fn accept(&mut self, offered: &DocumentInForce) -> DocumentChange {
         let known = self.revisions.get(&offered.service).copied().unwrap_or(0);
         if offered.revision < known {
             return DocumentChange::Older;
         }
         if offered.revision == known && known > 0 {
-            return DocumentChange::Known;
+            return DocumentChange::Unchanged;
         }
-        if self.faulty.get(&offered.service) == Some(&offered.revision) {
-            return DocumentChange::Known;
+        if self.invalid_revisions.get(&offered.service) == Some(&offered.revision) {
+            return DocumentChange::Unchanged;
         }
         let parsed = Document::parse(&offered.text).ok();
         let Some(document) = parsed.filter(|it| it.service == offered.service) else {
-            self.faulty
+            self.invalid_revisions
                 .insert(offered.service.clone(), offered.revision);
             return DocumentChange::Faulty;
         };
-        let before = self
+        let previous = self
             .revisions
             .insert(offered.service.clone(), offered.revision);
-        let grows = before.is_none_or(|before| before < offered.revision);
+        let grows = previous.is_none_or(|previous| previous < offered.revision);
         crate::invariant::check(grows, "entry.revisions_grow", || {
-            format!("{} after {before:?}: {}", offered.revision, offered.service)
+            format!(
+                "{} after {previous:?}: {}",
+                offered.revision, offered.service
+            )
         });
         self.documents.insert(offered.service.clone(), document);
         DocumentChange::Accepted
     }
 
-    fn index(&mut self) {
+    fn rebuild_indexes(&mut self) {
         self.keys.clear();
         self.models.clear();
         for (service, document) in &self.documents {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The services and accounts a key stands for; empty if no document lists it.
+    /// Services and accounts that a key belongs to; empty if no document lists the key.
     pub(crate) fn owners(&self, key: Option<&str>) -> &[(ServiceName, AccountId)] {
         let Some(key) = key else { return &[] };
         match self.keys.get(&keys::digest(key)) {
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Checks that a key is known and that the service serves its account.
+    /// Checks that a key is known and belongs to an account of the service.
     pub(crate) fn authenticate(
         &self,
         key: Option<&str>,
@@ -146,7 +149,7 @@
         self.models.get(model)
     }
 
-    /// The models a key may use, in document order.
+    /// Models that a key may use, in document order.
     pub(crate) fn models_of(&self, key: Option<&str>) -> Vec<(&ServiceName, &ModelOffer)> {
         let mut models = Vec::new();
         for (service, _) in self.owners(key) {
--- a/src/entry/locate.rs
+++ b/src/entry/locate.rs
@@ -1,8 +1,8 @@
-//! Which entries a caller should use for a service.
+//! Selection of the entries a caller should use for a service.
 //!
 //! Rendezvous hashing gives each caller its own stable order of the entries, so that callers spread
-//! over them without any state, and an entry that leaves moves only its own callers. Entries in the
-//! zone of the one that answers come first.
+//! over them without shared state, and an entry that leaves moves only its own callers. Entries in
+//! the zone of the answering entry come first.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -10,15 +10,15 @@
 use crate::wire::local::EntryRecord;
 use crate::wire::locate::{LocateAnswer, LocatedEntry};
 
-/// Most addresses in one answer.
+/// Maximum number of addresses in one answer.
 const MAX_ADDRESSES: usize = 4;
-/// Addresses taken from other zones, if there are any, so that the loss of a zone is survived.
+/// Minimum number of addresses from other zones, if any, so that callers survive a zone outage.
 const MIN_OTHER_ZONES: usize = 2;
-/// How long callers keep an answer.
+/// How long callers cache an answer.
 const TTL_MS: u64 = 5_000;
 
-/// Orders the serving entries for one caller of a service. `caller` is any stable text that tells
-/// callers apart. `None` if no entry serves.
+/// Orders the serving entries for one caller of a service. `caller` is any stable text that
+/// identifies the caller. Returns `None` if no entry is serving.
 pub(crate) fn pick_entries(
     service: &ServiceName,
     caller: &str,
--- a/src/entry/machine.rs
+++ b/src/entry/machine.rs
@@ -1,4 +1,4 @@
-//! The entry's state machine: its state, and the way of each message.
+//! The entry's state machine: its state and the dispatch of each message.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 
 use super::attempt::{Attempt, AttemptId};
-use super::book::RequestBook;
+use super::book::RequestRegistry;
 use super::claimed::OpenClaim;
 use super::config::EntryConfig;
 use super::counts::Counts;
@@ -21,10 +21,10 @@
 use crate::routing::{Policy, PollKind, Router};
 use crate::wire::local::{DecisionRecord, EntryRecord};
 
-/// How long a stop waits for sent answers to be recorded.
-const RECORDING_LIMIT_MS: u64 = 30_000;
+/// How long a stop waits until the answers that were sent are recorded in the table service.
+const RECORDING_TIMEOUT_MS: u64 = 30_000;
 
-/// One call to the outside that has no last answer yet.
+/// An outgoing call that has not been completely answered yet.
 #[derive(Clone, Debug)]
 pub(super) enum Call {
     /// An open stream.
@@ -39,12 +39,12 @@
     /// A call to an application endpoint.
     Application { attempt: AttemptId },
     /// A call to the table service for a claim.
-    Table { attempt: AttemptId, reads: bool },
-    /// A question to the holder of a claim.
+    Table { attempt: AttemptId, is_read: bool },
+    /// A request to the holder of a claim.
     Holder { attempt: AttemptId },
 }
 
-/// The decisions of one entry process.
+/// The decision logic of one entry process; it does no I/O.
 pub struct Entry<P>
 where
     P: Policy,
@@ -54,28 +54,28 @@
     pub(super) router: Router<P>,
     pub(super) admission: Admission,
     pub(super) rng: SmallRng,
-    pub(super) book: RequestBook,
-    /// Requests that wait or run, each in the book as running.
+    pub(super) requests: RequestRegistry,
+    /// Queued and running requests; each is registered as running in `requests`.
     pub(super) attempts: IndexMap<AttemptId, Attempt>,
-    /// Callers that wait, each listed by its attempt.
+    /// Waiting callers, each also listed in its attempt.
     pub(super) callers: IndexMap<CallerId, AttemptId>,
-    /// Calls that may still be answered.
+    /// Outgoing calls that may still be answered.
     pub(super) calls: IndexMap<CallId, Call>,
     pub(super) next_call: u64,
-    /// Claims not settled yet; they may outlive their attempt.
+    /// Unsettled claims; a claim may outlive its attempt.
     pub(super) claims: IndexMap<AttemptId, OpenClaim>,
     pub(super) prefill: IndexMap<String, PrefillHistory>,
     pub(super) probe_times: ProbeHistory,
-    /// How long calls of application services take.
+    /// Average duration of calls, by application service.
     pub(super) call_times_ms: IndexMap<ServiceName, MovingAverage>,
-    /// Services whose endpoints were found full since something last changed.
-    pub(super) full: IndexSet<ServiceName>,
+    /// Services that had no free endpoint at the last dispatch; cleared when that may have changed.
+    pub(super) full_services: IndexSet<ServiceName>,
     /// Whether a queued request may have become dispatchable.
     pub(super) dispatch_due: bool,
-    /// Since when no living chain covers a service's layers.
+    /// Since when no chain of live engines covers all layers of a service.
     pub(super) incomplete_since_ms: IndexMap<ServiceName, u64>,
     pub(super) entries: Vec<EntryRecord>,
-    /// Version of the last snapshot taken; only grows.
+    /// Version of the last snapshot applied; never decreases.
     pub(super) snapshot_version: u64,
     pub(super) stopping: bool,
     stop_at_ms: u64,
@@ -83,15 +83,15 @@
     pub(super) next_report_ms: u64,
     pub(super) decisions: VecDeque<DecisionRecord>,
     pub(super) counts: Counts,
-    /// Effects of the message at hand.
-    pub(super) out: Vec<EntryEffect>,
+    /// Effects of the message being handled.
+    pub(super) effects: Vec<EntryEffect>,
 }
 
 impl<P> Entry<P>
 where
     P: Policy,
 {
-    /// An entry that has no snapshot yet.
+    /// Creates an entry that has no snapshot yet.
     pub fn new(config: EntryConfig, policy: P) -> Self {
         let router = Router::new(policy, config.zone.clone(), config.seed);
         Self {
@@ -100,7 +100,7 @@
             rng: SmallRng::seed_from_u64(config.seed.wrapping_add(2)),
             config,
             directory: Directory::default(),
-            book: RequestBook::default(),
+            requests: RequestRegistry::default(),
             attempts: IndexMap::new(),
             callers: IndexMap::new(),
             calls: IndexMap::new(),
@@ -109,7 +109,7 @@
             prefill: IndexMap::new(),
             probe_times: ProbeHistory::default(),
             call_times_ms: IndexMap::new(),
-            full: IndexSet::new(),
+            full_services: IndexSet::new(),
             dispatch_due: false,
             incomplete_since_ms: IndexMap::new(),
             entries: Vec::new(),
@@ -120,11 +120,11 @@
             next_report_ms: 0,
             decisions: VecDeque::new(),
             counts: Counts::default(),
-            out: Vec::new(),
+            effects: Vec::new(),
         }
     }
 
-    /// Takes a message and returns what is to be done, in order.
+    /// Handles a message and returns the effects to execute, in order.
     pub fn handle(&mut self, message: EntryMessage, now_ms: u64) -> Vec<EntryEffect> {
         match message {
             EntryMessage::Arrived { caller, request } => self.on_arrived(caller, request, now_ms),
@@ -133,7 +133,7 @@
             EntryMessage::EngineStateRead { endpoint, state } => {
                 self.router
                     .set_engine_state(&endpoint, state.as_ref(), now_ms);
-                self.look_again();
+                self.request_dispatch();
             }
             EntryMessage::CacheEventsRead { endpoint, events } => {
                 self.router.add_cache_events(&endpoint, &events, now_ms);
@@ -166,31 +166,31 @@
         }
         self.dispatch(now_ms);
         self.check_stopped(now_ms);
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.effects)
     }
 
-    /// Requests that wait or run.
+    /// Number of queued and running requests.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// What was counted since the last call, by counter name.
+    /// Returns and resets the counters, by name.
     pub fn take_counts(&mut self) -> IndexMap<&'static str, u64> {
         self.counts.take()
     }
 
-    /// Notes that services found full may have room now.
-    pub(super) fn look_again(&mut self) {
-        self.full.clear();
+    /// Schedules a dispatch of all queues: services that were full may have capacity now.
+    pub(super) fn request_dispatch(&mut self) {
+        self.full_services.clear();
         self.dispatch_due = true;
     }
 
     fn on_tick(&mut self, now_ms: u64) {
-        self.look_again();
-        self.book.expire(now_ms);
+        self.request_dispatch();
+        self.requests.expire(now_ms);
         self.wake_chains(now_ms);
         self.wake_claims(now_ms);
-        self.drop_orphans(now_ms);
+        self.cancel_orphans(now_ms);
         self.refuse_expired(now_ms);
         self.poll_engines(now_ms);
         self.report_if_due(now_ms);
@@ -199,7 +199,7 @@
     fn poll_engines(&mut self, now_ms: u64) {
         for poll in self.router.due_polls(now_ms) {
             let effect = poll_effect(poll.endpoint, poll.address, poll.kind);
-            self.out.push(effect);
+            self.effects.push(effect);
         }
     }
 
@@ -211,28 +211,28 @@
         self.report(now_ms);
     }
 
-    /// Says when nothing is in flight any more. Answers that were sent but not yet recorded are
-    /// waited for too, but not through a long outage of the table service.
+    /// Emits `Stopped` once no request is in flight. Also waits for answers that were sent but not
+    /// yet recorded, up to a timeout, so that an outage of the table service cannot block the stop.
     pub(super) fn check_stopped(&mut self, now_ms: u64) {
         if !self.stopping || self.stopped || !self.attempts.is_empty() {
             return;
         }
         let waited_ms = now_ms.saturating_sub(self.stop_at_ms);
-        if self.claims.is_empty() || waited_ms >= RECORDING_LIMIT_MS {
+        if self.claims.is_empty() || waited_ms >= RECORDING_TIMEOUT_MS {
             self.stopped = true;
-            self.out.push(EntryEffect::Stopped);
+            self.effects.push(EntryEffect::Stopped);
         }
     }
 
-    /// Numbers a call and notes whose it is.
-    pub(super) fn open_call(&mut self, call: Call) -> CallId {
+    /// Assigns an id to an outgoing call and registers it.
+    pub(super) fn register_call(&mut self, call: Call) -> CallId {
         self.next_call += 1;
         let id = CallId(self.next_call);
         self.calls.insert(id, call);
         id
     }
 
-    /// Takes an attempt out while `run` works on it, and puts it back unless it has ended.
+    /// Removes an attempt while `run` works on it, and reinserts it unless it has ended.
     pub(super) fn with_attempt<F>(&mut self, id: AttemptId, run: F)
     where
         F: FnOnce(&mut Self, &mut Attempt) -> Flow,
@@ -240,18 +240,18 @@
         let Some(mut attempt) = self.attempts.swap_remove(&id) else {
             return;
         };
-        if run(self, &mut attempt) == Flow::GoesOn {
+        if run(self, &mut attempt) == Flow::Continue {
             self.attempts.insert(id, attempt);
         }
     }
 }
 
-/// Whether an attempt has had its final word.
+/// Whether an attempt continues or has received its final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Flow {
-    /// It waits or runs.
-    GoesOn,
-    /// It has ended and everything it held was given back.
+    /// It is queued or running.
+    Continue,
+    /// It has ended and all its resources are released.
     Ended,
 }
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,7 +1,7 @@
 //! The entry: authenticates, admits, routes and answers requests.
 //!
-//! [`Entry`] takes messages and the present time and returns effects; it does no I/O and holds no
-//! clock. A driver carries the messages in and the effects out.
+//! [`Entry`] takes messages and the present time and returns effects; it does no I/O and reads
+//! no clock. A driver delivers the messages and executes the effects.
 
 mod applications;
 mod arrival;
--- a/src/entry/report.rs
+++ b/src/entry/report.rs
@@ -1,4 +1,4 @@
-//! What the entry tells its control, and the decisions kept for people to read.
+//! Reports of the entry to its control, and the log of recent decisions for operators.
 
 use super::attempt::{Attempt, Work};
 use super::machine::Entry;
@@ -9,39 +9,39 @@
 use crate::wire::WIRE_VERSION;
 use crate::wire::local::{Decision, DecisionRecord, EntryReport, ServiceCapacity};
 
-/// Time between two reports.
-const REPORT_MS: u64 = 250;
-/// Most decisions kept between two reports; the oldest go first.
+/// Interval between two reports.
+const REPORT_INTERVAL_MS: u64 = 250;
+/// Maximum number of decisions kept between two reports; the oldest are dropped first.
 const MAX_DECISIONS: usize = 256;
 
 impl<P> Entry<P>
 where
     P: Policy,
 {
-    /// Reports to the control if it is time.
+    /// Sends a report to the control if one is due.
     pub(super) fn report_if_due(&mut self, now_ms: u64) {
         if now_ms >= self.next_report_ms {
             self.report(now_ms);
         }
     }
 
-    /// Reports to the control.
+    /// Sends a report to the control.
     pub(super) fn report(&mut self, now_ms: u64) {
-        self.next_report_ms = now_ms + REPORT_MS;
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS;
         let capacities = self.update_capacities();
         let report = EntryReport {
             wire_version: WIRE_VERSION,
             incarnation: self.config.incarnation,
             known_snapshot: self.snapshot_version,
             stopping: self.stopping,
-            in_flight: super::arrival::position(self.attempts.len()),
+            in_flight: super::arrival::saturating_u32(self.attempts.len()),
             demands: self.admission.demands(now_ms),
             draining_endpoints: self.router.draining_endpoints(),
             decisions: std::mem::take(&mut self.decisions).into(),
             revisions: self.directory.revisions().clone(),
             capacities,
         };
-        self.out.push(EntryEffect::Report { report });
+        self.effects.push(EntryEffect::Report { report });
     }
 
     fn update_capacities(&mut self) -> Vec<ServiceCapacity> {
@@ -49,7 +49,7 @@
         for service in self.directory.documents().keys() {
             let generated_per_s = self.router.capacity_tokens_per_s(service);
             self.admission.set_capacity(service, generated_per_s);
-            // Demands count prompts, so the capacity they are held against does too.
+            // Demands include prompt tokens, so the capacity they are compared with must too.
             let tokens_per_s = self.admission.capacity_tokens_per_s(service);
             capacities.push(ServiceCapacity {
                 service: service.clone(),
@@ -59,23 +59,23 @@
         capacities
     }
 
-    /// Keeps the decision to send a request to its stages.
-    pub(super) fn note_routed(&mut self, attempt: &Attempt, epoch: u32, now_ms: u64) {
-        self.note(attempt, Decision::Routed { epoch }, now_ms);
+    /// Records the decision to send a request to its stages or replica.
+    pub(super) fn record_routed(&mut self, attempt: &Attempt, epoch: u32, now_ms: u64) {
+        self.record_decision(attempt, Decision::Routed { epoch }, now_ms);
     }
 
-    /// Keeps the decision to refuse a request.
-    pub(super) fn note_refused(&mut self, attempt: &Attempt, refusal: Refusal, now_ms: u64) {
-        self.note(attempt, Decision::Refused { refusal }, now_ms);
+    /// Records the decision to refuse a request.
+    pub(super) fn record_refused(&mut self, attempt: &Attempt, refusal: Refusal, now_ms: u64) {
+        self.record_decision(attempt, Decision::Refused { refusal }, now_ms);
     }
 
-    /// Keeps the completion of a request.
-    pub(super) fn note_completed(&mut self, attempt: &Attempt, now_ms: u64) {
+    /// Records the completion of a request.
+    pub(super) fn record_completed(&mut self, attempt: &Attempt, now_ms: u64) {
         self.counts.count("entry.requests.completed");
-        self.note(attempt, Decision::Completed, now_ms);
+        self.record_decision(attempt, Decision::Completed, now_ms);
     }
 
-    fn note(&mut self, attempt: &Attempt, decision: Decision, now_ms: u64) {
+    fn record_decision(&mut self, attempt: &Attempt, decision: Decision, now_ms: u64) {
         if self.decisions.len() >= MAX_DECISIONS {
             self.decisions.pop_front();
             self.counts.count("entry.decisions.dropped");
@@ -90,7 +90,7 @@
         });
     }
 
-    /// Unix time.
+    /// Converts process time to Unix time, in milliseconds.
     pub(super) fn unix_ms(&self, now_ms: u64) -> u64 {
         self.config.unix_at_start_ms + now_ms
     }
--- a/src/entry/resolve.rs
+++ b/src/entry/resolve.rs
@@ -1,7 +1,7 @@
-//! A request checked against the limits and the documents in force.
+//! Validation of requests against the limits and the documents in force.
 
-use super::arrival::position;
-use super::attempt::{ApplicationCall, Attempt, AttemptId, Completion, Repeat, Work};
+use super::arrival::saturating_u32;
+use super::attempt::{ApplicationCall, Attempt, AttemptId, Completion, RetrySafety, Work};
 use super::book::BookKey;
 use super::machine::Entry;
 use super::verdict::Evidence;
@@ -16,7 +16,7 @@
 where
     P: Policy,
 {
-    /// Checks a request's size.
+    /// Checks a request's body size and `max_tokens` against the limits.
     pub(super) fn check_size(&self, body: &RequestBody) -> Result<(), Refusal> {
         let (size_bytes, max_tokens) = match body {
             RequestBody::Completion {
@@ -100,7 +100,7 @@
             prompt,
             max_tokens,
             chain: None,
-            open_call: None,
+            stream_call: None,
         };
         let work = Work::Completion(Box::new(completion));
         Ok(Resolved::new(document, account, work))
@@ -128,14 +128,14 @@
             return Err(Refusal::not_run(missing, None));
         }
         let call = ApplicationCall {
-            repeat: repeat_of(document, &method, &path, idempotency_key.as_ref())?,
+            retry_safety: retry_safety_of(document, &method, &path, idempotency_key.as_ref())?,
             method,
             path,
             content_type,
             body,
             idempotency_key,
             replica: None,
-            tried: Vec::new(),
+            failed_replicas: Vec::new(),
             sent_at_ms: 0,
         };
         let work = Work::Application(Box::new(call));
@@ -143,7 +143,7 @@
     }
 }
 
-/// A request that the documents allow.
+/// A request permitted by the documents in force.
 struct Resolved {
     service: ServiceName,
     account: AccountId,
@@ -183,27 +183,27 @@
     Ok(offer.clone())
 }
 
-/// Whether a call may be sent again. A non-idempotent one needs an idempotency key.
-fn repeat_of(
+/// Determines whether a call may be retried. A non-idempotent call requires an idempotency key.
+fn retry_safety_of(
     document: &Document,
     method: &str,
     path: &str,
     key: Option<&IdempotencyKey>,
-) -> Result<Repeat, Refusal> {
+) -> Result<RetrySafety, Refusal> {
     let Some(rule) = document.non_idempotent_rule(method, path) else {
-        return Ok(Repeat::Anywhere);
+        return Ok(RetrySafety::AnyReplica);
     };
     if key.is_none() {
         return Err(Refusal::not_run(RefusalCode::MissingHeader, None));
     }
     if rule.endpoint_deduplicates {
-        Ok(Repeat::Deduplicated)
+        Ok(RetrySafety::Deduplicated)
     } else {
-        Ok(Repeat::Never)
+        Ok(RetrySafety::OnlyIfNotRun)
     }
 }
 
-/// Tokens of a text: engines split it by white space.
+/// Counts tokens the way engines do: by splitting at white space.
 fn count_tokens(text: &str) -> u32 {
-    position(text.split_whitespace().count())
+    saturating_u32(text.split_whitespace().count())
 }
--- a/src/entry/streams.rs
+++ b/src/entry/streams.rs
@@ -1,4 +1,4 @@
-//! Streams at the engines: opened, heard, probed and dropped.
+//! Streams to engines: opening, events, probes and closing.
 
 use super::attempt::{Attempt, Work};
 use super::completions::stream_of;
@@ -19,8 +19,8 @@
         };
         let attempt = *attempt;
         self.with_attempt(attempt, |entry, attempt| {
-            attempt.evidence.may_have_run(call);
-            entry.tell_chain(attempt, ChainMessage::Event(event), now_ms)
+            attempt.evidence.record_may_have_run(call);
+            entry.handle_chain_message(attempt, ChainMessage::Event(event), now_ms)
         });
     }
 
@@ -32,12 +32,12 @@
         self.with_attempt(attempt, |entry, attempt| {
             match failure {
                 StreamFailure::NotSent | StreamFailure::Refused { .. } => {
-                    attempt.evidence.ran_nothing(call);
+                    attempt.evidence.record_not_run(call);
                 }
-                StreamFailure::Broken => attempt.evidence.may_have_run(call),
+                StreamFailure::Broken => attempt.evidence.record_may_have_run(call),
             }
             let message = ChainMessage::StreamFailed { epoch, failure };
-            entry.tell_chain(attempt, message, now_ms)
+            entry.handle_chain_message(attempt, message, now_ms)
         });
     }
 
@@ -51,8 +51,8 @@
         else {
             return;
         };
-        // A missing answer counts too: else an instance on which all answers are late would never
-        // learn to wait for them.
+        // Time-outs count too; otherwise an instance on which all answers are late would never
+        // raise its probe timeout.
         self.probe_times.add(now_ms.saturating_sub(sent_at_ms));
         let message = ChainMessage::Probed {
             round,
@@ -60,7 +60,7 @@
             answer,
         };
         self.with_attempt(attempt, |entry, attempt| {
-            entry.tell_chain(attempt, message, now_ms)
+            entry.handle_chain_message(attempt, message, now_ms)
         });
     }
 
@@ -75,16 +75,16 @@
         let Some(address) = open.chain.first().map(|stage| stage.address) else {
             return;
         };
-        let call = self.open_call(Call::Stream {
+        let call = self.register_call(Call::Stream {
             attempt: attempt.id,
             epoch: open.epoch,
         });
-        attempt.evidence.sent(call);
+        attempt.evidence.record_sent(call);
         if let Work::Completion(completion) = &mut attempt.work {
-            completion.open_call = Some(call);
+            completion.stream_call = Some(call);
         }
-        self.note_routed(attempt, open.epoch, now_ms);
-        self.out.push(EntryEffect::OpenStream {
+        self.record_routed(attempt, open.epoch, now_ms);
+        self.effects.push(EntryEffect::OpenStream {
             call,
             address,
             open,
@@ -92,15 +92,15 @@
         });
     }
 
-    /// Stops listening to the open stream of an attempt, if any.
+    /// Closes the open stream of an attempt, if any.
     pub(super) fn drop_stream(&mut self, attempt: &mut Attempt) {
         let Work::Completion(completion) = &mut attempt.work else {
             return;
         };
-        if let Some(call) = completion.open_call.take()
+        if let Some(call) = completion.stream_call.take()
             && self.calls.swap_remove(&call).is_some()
         {
-            self.out.push(EntryEffect::DropStream { call });
+            self.effects.push(EntryEffect::DropStream { call });
         }
     }
 
@@ -124,7 +124,7 @@
         });
         attempt.sent_tokens += 1;
         for caller in &attempt.callers {
-            self.out.push(EntryEffect::SendToken {
+            self.effects.push(EntryEffect::SendToken {
                 caller: *caller,
                 position,
                 text: text.to_owned(),
@@ -133,7 +133,7 @@
     }
 }
 
-/// What a stage said when it was probed.
+/// Converts the result of a probe of a stage.
 pub(super) fn probe_answer(progress: Option<StreamProgress>, reachable: bool) -> ProbeAnswer {
     match progress {
         Some(progress) => ProbeAnswer::Progress(progress),
--- a/src/entry/tests/book.rs
+++ b/src/entry/tests/book.rs
@@ -1,9 +1,9 @@
-//! The request book: joins, recorded answers, bounds.
+//! The request registry: joining callers, recorded answers and limits.
 
 use super::fixture::*;
 use crate::entry::EntryLimits;
 use crate::entry::attempt::AttemptId;
-use crate::entry::book::{Answer, BookKey, Known, RequestBook};
+use crate::entry::book::{Answer, BookKey, RequestRegistry, RequestState};
 use crate::instance::{CallerId, EntryEffect, EntryMessage};
 use crate::outcome::RefusalCode;
 use crate::wire::engine::{EndReason, StreamEvent};
@@ -25,33 +25,33 @@
 #[test]
 fn the_oldest_answers_make_room() {
     let limits = EntryLimits {
-        recorded_bytes: 1_000,
+        max_recorded_bytes: 1_000,
         ..EntryLimits::default()
     };
-    let mut book = RequestBook::default();
+    let mut registry = RequestRegistry::default();
     for request in ["r1", "r2", "r3"] {
-        book.open(key(request), [0; 32], AttemptId(CallerId(1)));
-        book.record(key(request), answer(300), &limits, 0);
+        registry.insert_running(key(request), [0; 32], AttemptId(CallerId(1)));
+        registry.record_answer(key(request), answer(300), &limits, 0);
     }
-    assert!(matches!(book.find(&key("r1"), &[0; 32]), Ok(None)));
+    assert!(matches!(registry.find(&key("r1"), &[0; 32]), Ok(None)));
     assert!(matches!(
-        book.find(&key("r3"), &[0; 32]),
-        Ok(Some(Known::Recorded(_)))
+        registry.find(&key("r3"), &[0; 32]),
+        Ok(Some(RequestState::Recorded(_)))
     ));
 }
 
 #[test]
 fn an_answer_is_forgotten_after_its_time_but_a_later_one_of_the_same_id_is_not() {
     let limits = EntryLimits::default();
-    let mut book = RequestBook::default();
+    let mut registry = RequestRegistry::default();
     for at_ms in [0, 1_000] {
-        book.open(key("r1"), [0; 32], AttemptId(CallerId(1)));
-        book.record(key("r1"), answer(1), &limits, at_ms);
+        registry.insert_running(key("r1"), [0; 32], AttemptId(CallerId(1)));
+        registry.record_answer(key("r1"), answer(1), &limits, at_ms);
     }
-    book.expire(limits.recorded_ms);
-    assert!(matches!(book.find(&key("r1"), &[0; 32]), Ok(Some(_))));
-    book.expire(limits.recorded_ms + 1_000);
-    assert!(matches!(book.find(&key("r1"), &[0; 32]), Ok(None)));
+    registry.expire(limits.recorded_ttl_ms);
+    assert!(matches!(registry.find(&key("r1"), &[0; 32]), Ok(Some(_))));
+    registry.expire(limits.recorded_ttl_ms + 1_000);
+    assert!(matches!(registry.find(&key("r1"), &[0; 32]), Ok(None)));
 }
 
 fn tokens_to(effects: &[EntryEffect], caller: u64) -> Vec<u32> {
--- a/src/entry/tests/claimed.rs
+++ b/src/entry/tests/claimed.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent calls: nothing is sent before its claim is written, and never twice.
+//! Non-idempotent calls: a call is sent only after its claim is written, and never twice.
 
 use super::fixture::*;
 use crate::clients::TableFailure;
--- a/src/entry/tests/fixture.rs
+++ b/src/entry/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A small fleet: four engines in two layer ranges, two replicas, one entry.
+//! Test fixture: four engines in two layer ranges, two replicas and one entry.
 
 use std::net::SocketAddr;
 
@@ -160,7 +160,7 @@
     }
 }
 
-/// An entry that knows the whole fleet.
+/// Creates an entry that has read the full snapshot and every engine's state.
 pub(super) fn entry() -> TestEntry {
     let mut entry = Entry::new(config(7), FlowWeighted);
     entry.handle(
@@ -227,7 +227,7 @@
     entry.handle(EntryMessage::Arrived { caller, request }, now_ms)
 }
 
-/// The stream that these effects open.
+/// Returns the stream opened by the effects, if any.
 pub(super) fn opened(effects: &[EntryEffect]) -> Option<(CallId, OpenStream)> {
     effects.iter().find_map(|effect| match effect {
         EntryEffect::OpenStream { call, open, .. } => Some((*call, open.clone())),
--- a/src/entry/tests/paths.rs
+++ b/src/entry/tests/paths.rs
@@ -1,4 +1,4 @@
-//! The plain ways of a request.
+//! Request handling: success, refusal, released slots and failed streams.
 
 use super::fixture::*;
 use crate::instance::{ApplicationReply, CallerId, EntryEffect, EntryMessage};
@@ -155,7 +155,7 @@
     assert_eq!(refused.unwrap().outcome, crate::outcome::Outcome::Unknown);
 }
 
-/// Lets time pass until a round of probes; returns the probes with their timeouts.
+/// Advances time until the entry sends probes; returns them with their timeouts.
 fn until_probed(entry: &mut TestEntry, now_ms: &mut u64) -> Vec<(crate::instance::CallId, u64)> {
     for _ in 0..200 {
         *now_ms += 20;
--- a/src/entry/tests/verdicts.rs
+++ b/src/entry/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! `not-run` over every order of events.
+//! Property test: `not-run` is correct for every order of call events.
 
 use proptest::prelude::*;
 
@@ -6,42 +6,41 @@
 use crate::instance::CallId;
 use crate::outcome::Outcome;
 
-/// What the entry may learn of a call; what truly happened is the model's.
+/// What the entry may learn about a call.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Sent(u64),
-    RanNothing(u64),
+    NotRun(u64),
     MayHaveRun(u64),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     (0..3u64, 0..3u8).prop_map(|(call, kind)| match kind {
         0 => Event::Sent(call),
-        1 => Event::RanNothing(call),
+        1 => Event::NotRun(call),
         _ => Event::MayHaveRun(call),
     })
 }
 
-/// Whether a call that was sent may have run: it said so once, or nothing proves the contrary.
+/// Reference model: whether a sent call may have run, because it was reported to have run or
+/// nothing proves that it did not.
 fn may_have_run(events: &[Event], call: u64) -> bool {
     let of_call = |event: &&Event| match event {
-        Event::Sent(id) | Event::RanNothing(id) | Event::MayHaveRun(id) => *id == call,
+        Event::Sent(id) | Event::NotRun(id) | Event::MayHaveRun(id) => *id == call,
     };
     let mut after = events.iter().filter(of_call);
     if !after.any(|event| matches!(event, Event::Sent(_))) {
         return false;
     }
     let rest: Vec<&Event> = after.collect();
-    let denied = rest
-        .iter()
-        .any(|event| matches!(event, Event::RanNothing(_)));
+    let denied = rest.iter().any(|event| matches!(event, Event::NotRun(_)));
     let heard = rest
         .iter()
         .any(|event| matches!(event, Event::MayHaveRun(_)));
     heard || !denied
 }
 
-/// Drops second sends of the same call: call ids are never used twice.
+/// Drops repeated sends of the same call, since call ids are never reused.
 fn without_repeats(events: Vec<Event>) -> Vec<Event> {
     let mut sent = indexmap::IndexSet::new();
     let keep = |event: &Event| match event {
@@ -60,9 +59,9 @@
         let mut evidence = Evidence::default();
         for event in &events {
             match event {
-                Event::Sent(call) => evidence.sent(CallId(*call)),
-                Event::RanNothing(call) => evidence.ran_nothing(CallId(*call)),
-                Event::MayHaveRun(call) => evidence.may_have_run(CallId(*call)),
+                Event::Sent(call) => evidence.record_sent(CallId(*call)),
+                Event::NotRun(call) => evidence.record_not_run(CallId(*call)),
+                Event::MayHaveRun(call) => evidence.record_may_have_run(CallId(*call)),
             }
         }
         let any = (0..3).any(|call| may_have_run(&events, call));
--- a/src/entry/tests/versions.rs
+++ b/src/entry/tests/versions.rs
@@ -1,4 +1,4 @@
-//! A version change: chains of the old version serve until chains of the new one do.
+//! Model version changes: chains of the old version serve until chains of the new one can.
 
 use super::fixture::*;
 use crate::entry::tests::fixture::TestEntry;
@@ -10,7 +10,7 @@
     opened(&effects).map(|(_, open)| open.version)
 }
 
-/// Another version is accepted; no engine holds it yet.
+/// Puts a document with version `v2` in force; no engine holds it yet.
 fn accept_v2(entry: &mut TestEntry) {
     let mut snapshot = snapshot(2);
     let document = &mut snapshot.documents[0];
--- a/src/entry/tests/views.rs
+++ b/src/entry/tests/views.rs
@@ -1,4 +1,4 @@
-//! What the entry knows of the fleet: documents, entries, readiness, stopping.
+//! Snapshots and queries: documents, located entries, readiness and stopping.
 
 use super::fixture::*;
 use crate::entry::Entry;
--- a/src/entry/tests/world.rs
+++ b/src/entry/tests/world.rs
@@ -1,5 +1,5 @@
-//! A small world around two entries, in simulated time: engines, replicas and a table service that
-//! fail at random by seed, and callers that never give up.
+//! Simulation of two entries in virtual time, with engines, replicas and a table service that fail
+//! at random by seed, and callers that retry until they are answered.
 
 mod asks;
 mod fleet;
@@ -12,7 +12,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use self::asks::Asks;
+use self::asks::SimulatedRequests;
 use self::fleet::Fleet;
 use self::table::Table;
 use super::fixture::*;
@@ -20,19 +20,19 @@
 use crate::instance::{CallId, EntryEffect, EntryMessage, TICK_MS};
 use crate::routing::FlowWeighted;
 
-/// How long faults are made.
-const CHAOS_MS: u64 = 12_000;
-/// How long the callers may take to be answered after the last fault.
-const HEAL_MS: u64 = 180_000;
+/// How long faults are injected.
+const FAULT_PERIOD_MS: u64 = 12_000;
+/// Time limit for answering all callers after the last fault.
+const RECOVERY_TIMEOUT_MS: u64 = 180_000;
 
-/// An entry's process lifetime.
+/// One process lifetime of an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lifetime {
     entry: usize,
     number: u32,
 }
 
-/// A call of a process lifetime.
+/// A call made during a process lifetime.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Sent {
     by: Lifetime,
@@ -41,16 +41,16 @@
 
 #[derive(Debug)]
 enum Event {
-    /// A message to an entry.
+    /// A message is delivered to an entry.
     Deliver(Lifetime, Box<EntryMessage>),
-    /// An effect reaches an engine or a replica.
-    Reach(Lifetime, Box<EntryEffect>),
+    /// An effect arrives at an engine or a replica.
+    Arrive(Lifetime, Box<EntryEffect>),
     /// The next position of a stream is due.
     Step(usize),
-    /// An ask is made, or made again.
-    Ask(usize),
-    /// The caller of an ask closes its connection.
-    Leave(usize),
+    /// A request is sent or retried.
+    Submit(usize),
+    /// The caller of a request closes its connection.
+    Disconnect(usize),
 }
 
 struct Node {
@@ -60,7 +60,7 @@
     stopped: bool,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     now_ms: u64,
     due: BinaryHeap<Reverse<(u64, u64)>>,
@@ -69,15 +69,15 @@
     nodes: Vec<Node>,
     table: Table,
     fleet: Fleet,
-    asks: Asks,
-    chaos: bool,
+    requests: SimulatedRequests,
+    faults_enabled: bool,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let asks = Asks::new(&mut rng);
-        let mut world = Self {
+        let requests = SimulatedRequests::new(&mut rng);
+        let mut simulation = Self {
             rng,
             now_ms: 0,
             due: BinaryHeap::new(),
@@ -86,15 +86,15 @@
             nodes: Vec::new(),
             table: Table::default(),
             fleet: Fleet::new(),
-            asks,
-            chaos: true,
+            requests,
+            faults_enabled: true,
         };
         for entry in 0..2 {
-            let node = world.start(Lifetime { entry, number: 0 });
-            world.nodes.push(node);
+            let node = simulation.start(Lifetime { entry, number: 0 });
+            simulation.nodes.push(node);
         }
-        world.schedule_asks();
-        world
+        simulation.schedule_requests();
+        simulation
     }
 
     fn start(&mut self, lifetime: Lifetime) -> Node {
@@ -112,7 +112,7 @@
         }
     }
 
-    fn after(&mut self, wait_ms: u64, event: Event) {
+    fn schedule(&mut self, wait_ms: u64, event: Event) {
         self.scheduled += 1;
         self.due
             .push(Reverse((self.now_ms + wait_ms, self.scheduled)));
@@ -123,36 +123,36 @@
         self.rng.random_range(from..to)
     }
 
-    /// True once in `of` times while faults are made.
-    fn fault(&mut self, of: u32) -> bool {
-        self.chaos && self.rng.random_range(0..of) == 0
+    /// True with probability 1 in `of` while faults are injected.
+    fn draw_fault(&mut self, of: u32) -> bool {
+        self.faults_enabled && self.rng.random_range(0..of) == 0
     }
 
-    /// Brings a message to an entry after a while.
-    fn tell(&mut self, wait_ms: u64, to: Lifetime, message: EntryMessage) {
-        self.after(wait_ms, Event::Deliver(to, Box::new(message)));
+    /// Schedules the delivery of a message to an entry.
+    fn send(&mut self, wait_ms: u64, to: Lifetime, message: EntryMessage) {
+        self.schedule(wait_ms, Event::Deliver(to, Box::new(message)));
     }
 
     fn run(&mut self) {
-        while self.now_ms < CHAOS_MS {
+        while self.now_ms < FAULT_PERIOD_MS {
             self.step();
-            self.make_faults();
+            self.inject_faults();
         }
-        self.chaos = false;
-        self.fleet.heal();
+        self.faults_enabled = false;
+        self.fleet.recover();
         self.table.outage_until_ms = 0;
-        while !self.is_quiet() {
+        while !self.is_idle() {
             assert!(
-                self.now_ms < CHAOS_MS + HEAL_MS,
+                self.now_ms < FAULT_PERIOD_MS + RECOVERY_TIMEOUT_MS,
                 "not answered: {:?}",
-                self.asks.open()
+                self.requests.open()
             );
             self.step();
         }
         self.check_stop();
     }
 
-    /// Lets one tick's time pass.
+    /// Advances the time by one tick.
     fn step(&mut self) {
         let until_ms = self.now_ms + TICK_MS;
         while let Some(Reverse((at_ms, number))) = self.due.peek().copied() {
@@ -162,7 +162,7 @@
             self.due.pop();
             self.now_ms = self.now_ms.max(at_ms);
             if let Some(event) = self.events.swap_remove(&number) {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
         self.now_ms = until_ms;
@@ -173,17 +173,17 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver(to, message) => self.deliver(to, *message),
-            Event::Reach(by, effect) => self.reach(by, *effect),
+            Event::Arrive(by, effect) => self.deliver_effect(by, *effect),
             Event::Step(stream) => self.step_stream(stream),
-            Event::Ask(ask) => self.ask(ask),
-            Event::Leave(ask) => self.leave(ask),
+            Event::Submit(index) => self.submit(index),
+            Event::Disconnect(index) => self.disconnect(index),
         }
     }
 
-    /// Hands a message to an entry, unless that lifetime is over.
+    /// Delivers a message to an entry, unless that lifetime has ended.
     fn deliver(&mut self, to: Lifetime, message: EntryMessage) {
         let node = &mut self.nodes[to.entry];
         if node.lifetime != to {
@@ -191,20 +191,20 @@
         }
         if node.frozen_until_ms > self.now_ms {
             let wait_ms = node.frozen_until_ms - self.now_ms;
-            return self.tell(wait_ms, to, message);
+            return self.send(wait_ms, to, message);
         }
         let effects = node.entry.handle(message, self.now_ms);
         for effect in effects {
-            self.carry_out(to, effect);
+            self.apply_effect(to, effect);
         }
     }
 
-    fn carry_out(&mut self, by: Lifetime, effect: EntryEffect) {
+    fn apply_effect(&mut self, by: Lifetime, effect: EntryEffect) {
         match effect {
             EntryEffect::SendToken { .. }
             | EntryEffect::SendEnd { .. }
             | EntryEffect::SendReply { .. }
-            | EntryEffect::SendRefusal { .. } => self.answer(by, effect),
+            | EntryEffect::SendRefusal { .. } => self.check_response(by, effect),
             EntryEffect::CallTable { call, table, .. } => self.call_table(by, call, table),
             EntryEffect::AskHolder {
                 call,
@@ -218,24 +218,24 @@
                 let frozen = self.nodes[to].frozen_until_ms > self.now_ms;
                 let working = match frozen {
                     true => None,
-                    false => Some(entry.holds(incarnation, &claim)),
+                    false => Some(entry.holds_claim(incarnation, &claim)),
                 };
-                let lost = self.fault(10) || lifetime == by;
+                let lost = self.draw_fault(10) || lifetime == by;
                 let working = working.filter(|_| !lost);
-                self.tell(5, by, EntryMessage::HolderAnswered { call, working });
+                self.send(5, by, EntryMessage::HolderAnswered { call, working });
             }
             EntryEffect::OpenStream { .. }
             | EntryEffect::CancelStream { .. }
             | EntryEffect::ProbeStream { .. }
             | EntryEffect::CallApplication { .. } => {
-                self.note_sent(by, &effect);
+                self.record_sent(by, &effect);
                 let wait_ms = self.draw(1, 4);
-                self.after(wait_ms, Event::Reach(by, Box::new(effect)));
+                self.schedule(wait_ms, Event::Arrive(by, Box::new(effect)));
             }
             EntryEffect::DropStream { call } => self.drop_stream(Sent { by, call }),
             EntryEffect::ReadEngineState { endpoint, address } => {
                 let state = self.fleet.state(address, self.now_ms);
-                self.tell(2, by, EntryMessage::EngineStateRead { endpoint, state });
+                self.send(2, by, EntryMessage::EngineStateRead { endpoint, state });
             }
             EntryEffect::Stopped => self.nodes[by.entry].stopped = true,
             EntryEffect::ReadCacheEvents { .. }
@@ -244,34 +244,34 @@
         }
     }
 
-    fn make_faults(&mut self) {
-        if self.fault(40) {
+    fn inject_faults(&mut self) {
+        if self.draw_fault(40) {
             let (down_ms, kill) = (self.draw(100, 3_000), self.rng.random());
             let victim = self.rng.random_range(0..ENGINES.len() + REPLICAS.len());
-            self.fleet.harm(victim, kill, self.now_ms + down_ms);
+            self.fleet.inject_fault(victim, kill, self.now_ms + down_ms);
         }
-        if self.fault(150) {
+        if self.draw_fault(150) {
             self.table.outage_until_ms = self.now_ms + self.draw(100, 2_000);
         }
-        if self.fault(200) {
+        if self.draw_fault(200) {
             let entry = self.rng.random_range(0..self.nodes.len());
             let until_ms = self.now_ms + self.draw(50, 4_000);
             self.nodes[entry].frozen_until_ms = until_ms;
         }
-        if self.fault(300) {
+        if self.draw_fault(300) {
             let entry = self.rng.random_range(0..self.nodes.len());
             let number = self.nodes[entry].lifetime.number + 1;
             self.nodes[entry] = self.start(Lifetime { entry, number });
-            self.lose_callers(entry);
+            self.disconnect_callers(entry);
         }
     }
 
-    fn is_quiet(&self) -> bool {
+    fn is_idle(&self) -> bool {
         let idle = |node: &Node| node.entry.in_flight() == 0 && node.entry.claims.is_empty();
-        self.asks.open().is_empty() && self.nodes.iter().all(idle)
+        self.requests.open().is_empty() && self.nodes.iter().all(idle)
     }
 
-    /// Nothing is left over, and a stop ends at once.
+    /// Checks that no state is left over and that a stop completes at once.
     fn check_stop(&mut self) {
         for _ in 0..1_000 {
             self.step();
@@ -288,10 +288,10 @@
     }
 }
 
-/// Names the seed of a run that fails.
-struct NameSeed(u64);
+/// Prints the seed if the run panics.
+struct ReportSeedOnPanic(u64);
 
-impl Drop for NameSeed {
+impl Drop for ReportSeedOnPanic {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("failed with FESCUE_SEED={}", self.0);
@@ -303,7 +303,7 @@
     std::env::var(variable).ok()?.parse().ok()
 }
 
-/// `FESCUE_SEED` runs one seed, `FESCUE_SEEDS` so many of them.
+/// `FESCUE_SEED` runs one seed, `FESCUE_SEEDS` sets how many are run.
 #[test]
 fn whatever_fails_every_caller_is_answered_whole_and_nothing_runs_twice() {
     let seeds = match number_from("FESCUE_SEED") {
@@ -311,7 +311,7 @@
         None => 0..number_from("FESCUE_SEEDS").unwrap_or(12),
     };
     for seed in seeds {
-        let _name = NameSeed(seed);
-        World::new(seed).run();
+        let _report = ReportSeedOnPanic(seed);
+        Simulation::new(seed).run();
     }
 }
--- a/src/entry/tests/world/fleet.rs
+++ b/src/entry/tests/world/fleet.rs
@@ -1,11 +1,11 @@
-//! Engines and replicas that die, freeze, refuse, fall silent and lose their replies.
+//! Simulated engines and replicas that crash, freeze, refuse, stop sending and lose replies.
 
 use std::net::SocketAddr;
 
 use indexmap::{IndexMap, IndexSet};
 
 use super::asks::{expected_end, expected_token};
-use super::{Event, Lifetime, Sent, World};
+use super::{Event, Lifetime, Sent, Simulation};
 use crate::entry::tests::fixture::*;
 use crate::ids::{EndpointId, StreamId};
 use crate::instance::{
@@ -15,35 +15,35 @@
     EngineError, EngineErrorCode, EngineState, OpenStream, StreamEvent, StreamProgress,
 };
 
-/// Time between two tokens.
+/// Interval between two tokens.
 const GAP_MS: u64 = 25;
 
 /// An engine or a replica.
 #[derive(Debug, Default)]
-struct Machine {
+struct Endpoint {
     dead_until_ms: u64,
     frozen_until_ms: u64,
-    /// Epoch and finished positions of each stream held.
+    /// Epoch and number of finished positions of each stream held.
     held: IndexMap<StreamId, (u32, u32)>,
 }
 
-/// A stream that runs.
+/// A running stream.
 #[derive(Debug)]
 struct Running {
     sent: Sent,
     open: OpenStream,
     position: u32,
-    /// Whether its events still reach the entry.
-    heard: bool,
-    /// Whether nothing runs any more.
-    over: bool,
+    /// Whether events still reach the entry.
+    connected: bool,
+    /// Whether the stream has ended.
+    ended: bool,
     /// When its last event arrives: events of one stream keep their order.
     last_event_ms: u64,
 }
 
 pub(super) struct Fleet {
     /// By port: first the engines, then the replicas.
-    machines: IndexMap<u16, Machine>,
+    endpoints: IndexMap<u16, Endpoint>,
     running: Vec<Running>,
     /// Every step that ran: stream, epoch, position, stage.
     steps: IndexSet<(StreamId, u32, u32, EndpointId)>,
@@ -57,33 +57,33 @@
         let replicas = REPLICAS.iter().map(|(_, port)| *port);
         let ports = engines.chain(replicas);
         Self {
-            machines: ports.map(|port| (port, Machine::default())).collect(),
+            endpoints: ports.map(|port| (port, Endpoint::default())).collect(),
             running: Vec::new(),
             steps: IndexSet::new(),
             runs_by_key: IndexMap::new(),
         }
     }
 
-    pub(super) fn harm(&mut self, victim: usize, kill: bool, until_ms: u64) {
-        let machine = &mut self.machines[victim];
+    pub(super) fn inject_fault(&mut self, victim: usize, kill: bool, until_ms: u64) {
+        let endpoint = &mut self.endpoints[victim];
         if kill {
-            machine.dead_until_ms = until_ms;
-            machine.held.clear();
+            endpoint.dead_until_ms = until_ms;
+            endpoint.held.clear();
         } else {
-            machine.frozen_until_ms = until_ms;
+            endpoint.frozen_until_ms = until_ms;
         }
     }
 
-    pub(super) fn heal(&mut self) {
-        for machine in self.machines.values_mut() {
-            machine.dead_until_ms = 0;
-            machine.frozen_until_ms = 0;
+    pub(super) fn recover(&mut self) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.dead_until_ms = 0;
+            endpoint.frozen_until_ms = 0;
         }
     }
 
     pub(super) fn state(&self, address: SocketAddr, now_ms: u64) -> Option<EngineState> {
-        let machine = &self.machines[&address.port()];
-        if now_ms < machine.dead_until_ms.max(machine.frozen_until_ms) {
+        let endpoint = &self.endpoints[&address.port()];
+        if now_ms < endpoint.dead_until_ms.max(endpoint.frozen_until_ms) {
             return None;
         }
         let (name, _, first, end) = ENGINES
@@ -93,19 +93,19 @@
     }
 
     fn is_dead(&self, address: SocketAddr, now_ms: u64) -> bool {
-        now_ms < self.machines[&address.port()].dead_until_ms
+        now_ms < self.endpoints[&address.port()].dead_until_ms
     }
 
-    /// How long until a machine is not frozen.
+    /// Remaining time for which an endpoint is frozen.
     fn frozen_ms(&self, address: SocketAddr, now_ms: u64) -> u64 {
-        let until_ms = self.machines[&address.port()].frozen_until_ms;
+        let until_ms = self.endpoints[&address.port()].frozen_until_ms;
         until_ms.saturating_sub(now_ms)
     }
 }
 
-impl World {
-    /// An effect reaches its engine or replica.
-    pub(super) fn reach(&mut self, by: Lifetime, effect: EntryEffect) {
+impl Simulation {
+    /// Executes an effect at its engine or replica.
+    pub(super) fn deliver_effect(&mut self, by: Lifetime, effect: EntryEffect) {
         let address = match &effect {
             EntryEffect::OpenStream { address, .. }
             | EntryEffect::CancelStream { address, .. }
@@ -123,7 +123,7 @@
             } => {
                 let dead = self.fleet.is_dead(address, self.now_ms);
                 let reachable = !dead && frozen_ms == 0;
-                let held = &self.fleet.machines[&address.port()].held;
+                let held = &self.fleet.endpoints[&address.port()].held;
                 let progress = held.get(&stream).filter(|_| reachable);
                 let progress = progress.map(|(epoch, position)| StreamProgress {
                     epoch: *epoch,
@@ -135,14 +135,14 @@
                     reachable,
                 };
                 let wait_ms = if frozen_ms > 0 { timeout_ms } else { 1 };
-                self.tell(wait_ms, by, message);
+                self.send(wait_ms, by, message);
             }
             EntryEffect::CallApplication { .. } => self.reach_replica(by, effect, frozen_ms),
             effect if frozen_ms > 0 => {
-                self.after(frozen_ms, Event::Reach(by, Box::new(effect)));
+                self.schedule(frozen_ms, Event::Arrive(by, Box::new(effect)));
             }
             EntryEffect::CancelStream { stream, epoch, .. } => {
-                let held = &mut self.fleet.machines[&address.port()].held;
+                let held = &mut self.fleet.endpoints[&address.port()].held;
                 if held.get(&stream).is_some_and(|(known, _)| *known <= epoch) {
                     held.swap_remove(&stream);
                 }
@@ -155,7 +155,7 @@
     }
 
     fn open_at(&mut self, sent: Sent, address: SocketAddr, open: OpenStream) {
-        let held = &self.fleet.machines[&address.port()].held;
+        let held = &self.fleet.endpoints[&address.port()].held;
         let known = held.get(&open.stream).map_or(0, |(epoch, _)| *epoch);
         let failure = if self.fleet.is_dead(address, self.now_ms) {
             Some(StreamFailure::NotSent)
@@ -163,7 +163,7 @@
             let code = EngineErrorCode::StaleEpoch;
             let error = EngineError { code, stage: None };
             Some(StreamFailure::Refused { error })
-        } else if self.fault(25) {
+        } else if self.draw_fault(25) {
             let code = EngineErrorCode::Overloaded;
             let error = EngineError { code, stage: None };
             Some(StreamFailure::Refused { error })
@@ -172,27 +172,27 @@
         };
         if let Some(failure) = failure {
             let call = sent.call;
-            return self.tell(1, sent.by, EntryMessage::StreamFailed { call, failure });
+            return self.send(1, sent.by, EntryMessage::StreamFailed { call, failure });
         }
         let position = open.generated.len() as u32;
         self.fleet.running.push(Running {
             sent,
             open,
             position,
-            heard: true,
-            over: false,
+            connected: true,
+            ended: false,
             last_event_ms: 0,
         });
-        self.after(GAP_MS, Event::Step(self.fleet.running.len() - 1));
+        self.schedule(GAP_MS, Event::Step(self.fleet.running.len() - 1));
     }
 
-    /// The entry stops listening to a stream: it ends, but what is under way may still come.
+    /// Ends a stream that the entry dropped; events under way may still arrive.
     pub(super) fn drop_stream(&mut self, sent: Sent) {
-        let late = self.fault(3);
+        let late = self.draw_fault(3);
         for running in &mut self.fleet.running {
             if running.sent == sent {
-                running.heard = late;
-                running.over = !late;
+                running.connected = late;
+                running.ended = !late;
             }
         }
     }
@@ -200,7 +200,7 @@
     /// Runs one position through every stage.
     pub(super) fn step_stream(&mut self, index: usize) {
         let running = &self.fleet.running[index];
-        if running.over {
+        if running.ended {
             return;
         }
         let (sent, open, position) = (running.sent, running.open.clone(), running.position);
@@ -211,10 +211,10 @@
             }
             let frozen_ms = self.fleet.frozen_ms(stage.address, self.now_ms);
             if frozen_ms > 0 {
-                return self.after(frozen_ms, Event::Step(index));
+                return self.schedule(frozen_ms, Event::Step(index));
             }
             let port = stage.address.port();
-            let held = self.fleet.machines[&port].held.get(&open.stream).copied();
+            let held = self.fleet.endpoints[&port].held.get(&open.stream).copied();
             let (epoch, finished) = held.unwrap_or((0, 0));
             if epoch > open.epoch {
                 return self.end_with(
@@ -242,9 +242,9 @@
             let step = (open.stream, open.epoch, position, stage.endpoint.clone());
             if self.fleet.steps.insert(step) {
                 let state = (open.epoch, position + 1);
-                self.fleet.machines[&port].held.insert(open.stream, state);
+                self.fleet.endpoints[&port].held.insert(open.stream, state);
             }
-            self.ran(sent);
+            self.record_run(sent);
         }
         self.report_token(index, &open, position);
     }
@@ -255,7 +255,7 @@
             position,
             text: expected_token(&open.prompt, position),
         };
-        if self.fault(10) {
+        if self.draw_fault(10) {
             self.emit(index, token.clone());
         }
         self.emit(index, token);
@@ -271,20 +271,20 @@
                 },
             );
         }
-        if self.fault(60) {
-            // The connection has gone silent.
-            self.fleet.running[index].heard = false;
+        if self.draw_fault(60) {
+            // The connection delivers nothing from here on.
+            self.fleet.running[index].connected = false;
         }
-        self.after(GAP_MS, Event::Step(index));
+        self.schedule(GAP_MS, Event::Step(index));
     }
 
     fn stage_died(&mut self, index: usize, at: usize, stage: &EndpointId) {
         let sent = self.fleet.running[index].sent;
         if at == 0 {
-            self.fleet.running[index].over = true;
+            self.fleet.running[index].ended = true;
             if self.draw(0, 4) > 0 {
                 let (call, failure) = (sent.call, StreamFailure::Broken);
-                self.tell(2, sent.by, EntryMessage::StreamFailed { call, failure });
+                self.send(2, sent.by, EntryMessage::StreamFailed { call, failure });
             }
             return;
         }
@@ -305,18 +305,18 @@
 
     fn end_with(&mut self, index: usize, event: StreamEvent) {
         self.emit(index, event);
-        self.fleet.running[index].over = true;
+        self.fleet.running[index].ended = true;
     }
 
     fn emit(&mut self, index: usize, event: StreamEvent) {
         let wait_ms = self.draw(1, 6);
         let now_ms = self.now_ms;
         let running = &mut self.fleet.running[index];
-        if running.heard {
+        if running.connected {
             running.last_event_ms = running.last_event_ms.max(now_ms + wait_ms);
             let (sent, wait_ms) = (running.sent, running.last_event_ms - now_ms);
             let call = sent.call;
-            self.tell(wait_ms, sent.by, EntryMessage::StreamEvent { call, event });
+            self.send(wait_ms, sent.by, EntryMessage::StreamEvent { call, event });
         }
     }
 
@@ -335,36 +335,36 @@
         let (call, timeout_ms) = (*call, *timeout_ms);
         if self.fleet.is_dead(*address, self.now_ms) {
             let result = Err(ApplicationFailure::NotSent);
-            return self.tell(1, by, EntryMessage::ApplicationAnswered { call, result });
+            return self.send(1, by, EntryMessage::ApplicationAnswered { call, result });
         }
         if frozen_ms > 0 {
-            // The caller gives up; the replica runs the call once it wakes.
+            // The caller times out, and the replica runs the call once it is no longer frozen.
             let result = Err(ApplicationFailure::ReplyLost);
-            self.tell(
+            self.send(
                 timeout_ms,
                 by,
                 EntryMessage::ApplicationAnswered { call, result },
             );
-            return self.after(frozen_ms, Event::Reach(by, Box::new(effect)));
+            return self.schedule(frozen_ms, Event::Arrive(by, Box::new(effect)));
         }
         if let Some(key) = idempotency_key {
             let runs = self.fleet.runs_by_key.entry(key.to_string()).or_default();
             *runs += 1;
             assert_eq!(*runs, 1, "{key} ran twice");
         }
-        self.ran(Sent { by, call });
+        self.record_run(Sent { by, call });
         let reply = ApplicationReply {
             status: 200,
             content_type: None,
             body: body.clone(),
         };
-        let lost = self.fault(15);
+        let lost = self.draw_fault(15);
         let result = match lost {
             true => Err(ApplicationFailure::ReplyLost),
             false => Ok(reply),
         };
         let wait_ms = if lost { timeout_ms } else { self.draw(2, 30) };
-        self.tell(
+        self.send(
             wait_ms,
             by,
             EntryMessage::ApplicationAnswered { call, result },
--- a/src/entry/tests/world/table.rs
+++ b/src/entry/tests/world/table.rs
@@ -1,18 +1,18 @@
-//! The table service: conditional transactions, whose replies may be lost.
+//! Simulated table service: conditional transactions whose replies may be lost.
 
-use super::{Lifetime, World};
+use super::{Lifetime, Simulation};
 use crate::clients::TableFailure;
 use crate::control::tests::fake_table::FakeTable;
 use crate::instance::{CallId, EntryMessage, TableCall};
 
-/// The table and when it is out.
+/// The table's rows and the end of the current outage.
 #[derive(Debug, Default)]
 pub(super) struct Table {
     rows: FakeTable,
     pub(super) outage_until_ms: u64,
 }
 
-impl World {
+impl Simulation {
     pub(super) fn call_table(&mut self, by: Lifetime, call: CallId, table: TableCall) {
         let failure = self.table_failure();
         let takes_effect = match failure {
@@ -29,16 +29,16 @@
             Err(TableFailure::ReplyLost) => 1_000,
             _ => self.draw(1, 20),
         };
-        self.tell(wait_ms, by, EntryMessage::TableAnswered { call, result });
+        self.send(wait_ms, by, EntryMessage::TableAnswered { call, result });
     }
 
     fn table_failure(&mut self) -> Option<TableFailure> {
         if self.now_ms < self.table.outage_until_ms {
             return Some(TableFailure::NotSent);
         }
-        if self.fault(12) {
+        if self.draw_fault(12) {
             return Some(TableFailure::ReplyLost);
         }
-        self.fault(20).then_some(TableFailure::Throttled)
+        self.draw_fault(20).then_some(TableFailure::Throttled)
     }
 }
--- a/src/entry/verdict.rs
+++ b/src/entry/verdict.rs
@@ -1,64 +1,64 @@
-//! Whether a request surely ran nowhere: the one place that decides `not-run`.
+//! Decides whether a request certainly did not run; the only place that determines `not-run`.
 //!
-//! Every call that could make an endpoint run a part of the request is noted before it is sent, and
-//! what became of it as soon as that is known. `not-run` holds only if each of them surely ran
-//! nothing; a call that is still open, broke, or said anything that only a running endpoint says,
-//! may have run.
+//! Every call that could make an endpoint run part of the request is recorded before it is sent,
+//! and its result as soon as it is known. A request is `not-run` only if all its calls certainly
+//! ran nothing. A call that is still open, whose connection broke, or that returned anything only a
+//! running endpoint returns may have run.
 
 use indexmap::IndexMap;
 
 use crate::instance::CallId;
 use crate::outcome::{Outcome, Refusal, RefusalCode};
 
-/// What is known of one call to an endpoint.
+/// Execution status of one call to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum CallTrace {
-    /// Sent, or about to be; nothing heard.
+enum CallStatus {
+    /// Sent or about to be sent; no response yet.
     Open,
-    /// It surely ran nothing.
-    RanNothing,
+    /// It certainly ran nothing.
+    NotRun,
     /// It ran, or may have run.
     MayHaveRun,
 }
 
-/// What is known of all calls made for one request.
+/// Execution status of all calls made for one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Evidence {
-    calls: IndexMap<CallId, CallTrace>,
+    calls: IndexMap<CallId, CallStatus>,
 }
 
 impl Evidence {
-    /// Notes a call before it is sent.
-    pub(crate) fn sent(&mut self, call: CallId) {
-        self.calls.insert(call, CallTrace::Open);
+    /// Records a call before it is sent.
+    pub(crate) fn record_sent(&mut self, call: CallId) {
+        self.calls.insert(call, CallStatus::Open);
     }
 
-    /// Notes that no byte of a call left, or that the endpoint refused it before it ran anything.
-    /// What was heard before goes first.
-    pub(crate) fn ran_nothing(&mut self, call: CallId) {
-        if let Some(trace @ CallTrace::Open) = self.calls.get_mut(&call) {
-            *trace = CallTrace::RanNothing;
+    /// Records that no byte of a call was sent, or that the endpoint refused it before it ran
+    /// anything. An earlier result takes precedence.
+    pub(crate) fn record_not_run(&mut self, call: CallId) {
+        if let Some(status @ CallStatus::Open) = self.calls.get_mut(&call) {
+            *status = CallStatus::NotRun;
         }
     }
 
-    /// Notes that a call ran, or that it cannot be known any more whether it did.
-    pub(crate) fn may_have_run(&mut self, call: CallId) {
-        if let Some(trace) = self.calls.get_mut(&call) {
-            *trace = CallTrace::MayHaveRun;
+    /// Records that a call ran, or that it can no longer be determined whether it did.
+    pub(crate) fn record_may_have_run(&mut self, call: CallId) {
+        if let Some(status) = self.calls.get_mut(&call) {
+            *status = CallStatus::MayHaveRun;
         }
     }
 
-    /// What is true of the request, short of an answer.
+    /// Outcome of the request if it ends without an answer.
     pub(crate) fn outcome(&self) -> Outcome {
-        let mut traces = self.calls.values();
-        if traces.all(|trace| *trace == CallTrace::RanNothing) {
+        let mut statuses = self.calls.values();
+        if statuses.all(|status| *status == CallStatus::NotRun) {
             Outcome::NotRun
         } else {
             Outcome::Unknown
         }
     }
 
-    /// The final word on a request that has no answer.
+    /// The final error of a request that has no answer.
     pub(crate) fn refusal(&self, code: RefusalCode, retry_after_ms: Option<u64>) -> Refusal {
         match self.outcome() {
             Outcome::NotRun => Refusal::not_run(code, retry_after_ms),
--- a/src/entry/views.rs
+++ b/src/entry/views.rs
@@ -1,4 +1,4 @@
-//! What the entry knows of the fleet, and what it tells callers of it.
+//! Applies snapshots of the fleet, and answers callers' queries about entries and models.
 
 use super::config::ShareSource;
 use super::directory::DocumentChange;
@@ -10,7 +10,7 @@
 use crate::wire::local::{EntryRecord, Snapshot};
 use crate::wire::locate::LocateAnswer;
 
-/// When a caller should come back to an instance that has no document yet.
+/// Retry delay sent by an instance that has no document yet.
 const NOT_READY_RETRY_MS: u64 = 1_000;
 
 /// A model that an account may use.
@@ -18,7 +18,7 @@
 pub struct ModelView {
     /// The service that offers it.
     pub service: ServiceName,
-    /// Name.
+    /// Model name.
     pub model: String,
     /// Adapters; a caller names one as `model:adapter`.
     pub adapters: Vec<String>,
@@ -28,8 +28,8 @@
 where
     P: Policy,
 {
-    /// Entries to use for a service. `caller` is any stable text that tells callers apart: each
-    /// gets its own order.
+    /// Entries to use for a service. `caller` is any stable text that identifies the caller:
+    /// each gets its own order.
     pub fn locate(&self, service: &ServiceName, caller: &str) -> Result<LocateAnswer, Refusal> {
         if self.directory.is_empty() {
             return Err(not_ready());
@@ -61,7 +61,7 @@
             .collect())
     }
 
-    /// Whether new requests are taken.
+    /// Whether new requests are accepted.
     pub fn is_ready(&self) -> bool {
         !self.stopping && !self.directory.is_empty()
     }
@@ -91,7 +91,7 @@
         if self.config.shares == ShareSource::Control {
             self.admission.set_shares(&snapshot.shares, now_ms);
         }
-        self.look_again();
+        self.request_dispatch();
     }
 
     fn count_changes(&mut self, changes: &[DocumentChange]) {
@@ -100,7 +100,7 @@
                 DocumentChange::Accepted => self.counts.count("entry.documents.accepted"),
                 DocumentChange::Older => self.counts.count("entry.documents.older"),
                 DocumentChange::Faulty => self.counts.count("entry.documents.faulty"),
-                DocumentChange::Known => {}
+                DocumentChange::Unchanged => {}
             }
         }
     }
