--- a/src/entry/applications.rs
+++ b/src/entry/applications.rs
@@ -10,13 +10,13 @@
 
 /// Maximum time to wait for a complete reply.
 const MAX_CALL_TIMEOUT_MS: u64 = 10_000;
-/// Minimum time-out of a call that may be retried.
+/// Minimum timeout of a call that may be retried.
 const MIN_CALL_TIMEOUT_MS: u64 = 250;
 /// Assumed duration of a call before any was measured.
 const INITIAL_CALL_TIME_MS: f64 = 250.0;
 /// A call that may be retried times out after this multiple of the usual call time.
 const CALL_TIMEOUT_FACTOR: f64 = 4.0;
-/// Statuses of a replica that could not serve the call: bad gateway, unavailable, gateway time-out.
+/// Statuses of a replica that could not serve the call: bad gateway, unavailable, gateway timeout.
 const REPLICA_FAILURE_STATUSES: [u16; 3] = [502, 503, 504];
 
 impl<P> Entry<P>
@@ -202,17 +202,17 @@
             work.failed_replicas.push(replica.endpoint.clone());
         }
         let in_time = attempt.deadline.is_none_or(|it| now_ms < it.at_ms);
-        let again = in_time
+        let retry = in_time
             && may_retry(work, known_not_run)
             && self
                 .admission
                 .allow_retry(&attempt.service, &attempt.key.account, now_ms)
             && self.reserve_replica(attempt, now_ms);
-        if again {
+        if retry {
             self.counts.count("entry.calls.retried");
             self.send_call(attempt, now_ms);
         }
-        again
+        retry
     }
 }
 
--- a/src/entry/directory.rs
+++ b/src/entry/directory.rs
@@ -85,8 +85,8 @@
         let grows = previous.is_none_or(|previous| previous < offered.revision);
         crate::invariant::check(grows, "entry.revisions_grow", || {
             format!(
-                "{} after {previous:?}: {}",
-                offered.revision, offered.service
+                "service {}: accepted revision {} after {previous:?}",
+                offered.service, offered.revision
             )
         });
         self.documents.insert(offered.service.clone(), document);
--- a/src/entry/streams.rs
+++ b/src/entry/streams.rs
@@ -51,7 +51,7 @@
         else {
             return;
         };
-        // Time-outs count too; otherwise an instance on which all answers are late would never
+        // Unanswered probes count too; otherwise an instance on which all answers are late would never
         // raise its probe timeout.
         self.probe_times.add(now_ms.saturating_sub(sent_at_ms));
         let message = ChainMessage::Probed {
@@ -120,7 +120,10 @@
         self.counts.count("entry.tokens");
         let in_order = position == attempt.sent_tokens;
         crate::invariant::check(in_order, "entry.tokens_in_order", || {
-            format!("{position} after {} tokens", attempt.sent_tokens)
+            format!(
+                "token at position {position} received after {} tokens",
+                attempt.sent_tokens
+            )
         });
         attempt.sent_tokens += 1;
         for caller in &attempt.callers {
--- a/src/entry/tests/claimed.rs
+++ b/src/entry/tests/claimed.rs
@@ -85,10 +85,10 @@
     let mut entry = entry();
     let effects = arrive(&mut entry, 1, stock_count("r1", "k1"), 10);
     let (_, TableCall::Transact(transaction)) = table_call(&effects).unwrap() else {
-        panic!("no transaction");
+        panic!("expected a transaction");
     };
     let crate::wire::platform::Write::Put { key, .. } = &transaction.writes[0] else {
-        panic!("no row");
+        panic!("expected a row write");
     };
     let mut working = |incarnation| {
         let asked = EntryMessage::HolderAsked {
--- a/src/entry/tests/paths.rs
+++ b/src/entry/tests/paths.rs
@@ -39,7 +39,7 @@
     let mut entry = entry();
     let effects = arrive(&mut entry, 1, call(KEY, "r1", "GET", "/prices/lamb"), 10);
     let Some(EntryEffect::CallApplication { call, .. }) = effects.first() else {
-        panic!("not called: {effects:?}");
+        panic!("application not called: {effects:?}");
     };
     let reply = ApplicationReply {
         status: 200,
@@ -71,7 +71,7 @@
         let effects = arrive(&mut entry, 1, request, 10);
         match effects.as_slice() {
             [EntryEffect::SendRefusal { refusal, .. }] => refusal.code,
-            other => panic!("not refused: {other:?}"),
+            other => panic!("request not refused: {other:?}"),
         }
     };
     let mut unknown_model = completion(KEY, "r", 2);
@@ -118,7 +118,7 @@
 
 fn answer_call(entry: &mut TestEntry, effects: &[EntryEffect], now_ms: u64) {
     let Some(EntryEffect::CallApplication { call, .. }) = effects.first() else {
-        panic!("not called: {effects:?}");
+        panic!("application not called: {effects:?}");
     };
     let reply = ApplicationReply {
         status: 200,
@@ -171,7 +171,7 @@
             return probes;
         }
     }
-    panic!("never probed");
+    panic!("no probe within 4 s");
 }
 
 #[test]
@@ -200,7 +200,7 @@
     let mut entry = entry();
     let mut effects = arrive(&mut entry, 1, completion(KEY, "r1", 8), 10);
     for (epoch, stage) in (1..).zip(["back-1", "front-1", "back-2"]) {
-        let (call, _) = opened(&effects).expect("an epoch");
+        let (call, _) = opened(&effects).expect("no stream opened for the next epoch");
         let event = StreamEvent::Failed {
             epoch,
             position: 0,
@@ -209,7 +209,10 @@
         };
         effects = entry.handle(EntryMessage::StreamEvent { call, event }, 20);
     }
-    assert!(opened(&effects).is_none(), "there are stages left");
+    assert!(
+        opened(&effects).is_none(),
+        "a stream was opened although no stages are left"
+    );
     for now_ms in (40..1_000).step_by(20) {
         entry.handle(EntryMessage::Tick, now_ms);
     }
--- a/src/entry/tests/world.rs
+++ b/src/entry/tests/world.rs
@@ -144,7 +144,7 @@
         while !self.is_idle() {
             assert!(
                 self.now_ms < FAULT_PERIOD_MS + RECOVERY_TIMEOUT_MS,
-                "not answered: {:?}",
+                "requests not answered: {:?}",
                 self.requests.open()
             );
             self.step();
@@ -277,8 +277,15 @@
             self.step();
         }
         for node in &self.nodes {
-            assert!(node.entry.callers.is_empty(), "callers left over");
-            assert!(node.entry.calls.is_empty(), "calls: {:?}", node.entry.calls);
+            assert!(
+                node.entry.callers.is_empty(),
+                "callers left after all requests ended"
+            );
+            assert!(
+                node.entry.calls.is_empty(),
+                "calls left: {:?}",
+                node.entry.calls
+            );
             assert!(node.entry.admission.services().is_empty());
         }
         for entry in 0..self.nodes.len() {
--- a/src/entry/tests/world/asks.rs
+++ b/src/entry/tests/world/asks.rs
@@ -206,7 +206,7 @@
         match effect {
             EntryEffect::SendToken { position, text, .. } => {
                 let RequestBody::Completion { prompt, .. } = &pending.request.body else {
-                    panic!("a token for a call");
+                    panic!("token sent for an application call");
                 };
                 assert_eq!(position, pending.tokens);
                 assert_eq!(text, expected_token(prompt, position));
@@ -221,7 +221,7 @@
                     prompt, max_tokens, ..
                 } = &pending.request.body
                 else {
-                    panic!("an end for a call");
+                    panic!("end sent for an application call");
                 };
                 let (length, reason) = expected_end(prompt, *max_tokens);
                 assert_eq!((positions, pending.tokens), (length, length));
@@ -230,7 +230,7 @@
             }
             EntryEffect::SendReply { reply, .. } => {
                 let RequestBody::Application { body, .. } = &pending.request.body else {
-                    panic!("a reply for a completion");
+                    panic!("application reply sent for a completion");
                 };
                 assert_eq!(reply.body, *body);
                 self.settle(index, by);
--- a/src/entry/tests/world/fleet.rs
+++ b/src/entry/tests/world/fleet.rs
@@ -111,7 +111,7 @@
             | EntryEffect::CancelStream { address, .. }
             | EntryEffect::ProbeStream { address, .. }
             | EntryEffect::CallApplication { address, .. } => *address,
-            other => panic!("goes nowhere: {other:?}"),
+            other => panic!("effect without a destination: {other:?}"),
         };
         let frozen_ms = self.fleet.frozen_ms(address, self.now_ms);
         match effect {
