--- a/src/entry/tests/world.rs
+++ b/src/entry/tests/world.rs
@@ -1,8 +1,8 @@
 //! Simulation of two entries in virtual time, with engines, replicas and a table service that fail
 //! at random by seed, and callers that retry until they are answered.
 
-mod asks;
 mod fleet;
+mod requests;
 mod table;
 
 use std::cmp::Reverse;
@@ -12,8 +12,8 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use self::asks::SimulatedRequests;
 use self::fleet::Fleet;
+use self::requests::SimulatedRequests;
 use self::table::Table;
 use super::fixture::*;
 use crate::entry::Entry;
--- a/src/entry/tests/world/fleet.rs
+++ b/src/entry/tests/world/fleet.rs
@@ -4,7 +4,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use super::asks::{expected_end, expected_token};
+use super::requests::{expected_end, expected_token};
 use super::{Event, Lifetime, Sent, Simulation};
 use crate::entry::tests::fixture::*;
 use crate::ids::{EndpointId, StreamId};
