--- a/src/entry/arrival.rs
+++ b/src/entry/arrival.rs
@@ -1,14 +1,14 @@
 //! Admission of callers' requests: each is queued, joined to a running answer, answered from the
 //! record, or refused.
 
-use crate::admission::QueueRequest;
-use crate::instance::{CallerId, CallerRequest, EntryEffect};
-use crate::outcome::{Refusal, RefusalCode};
-use crate::routing::Policy;
 use super::attempt::{Attempt, AttemptId, Work};
 use super::book::{Answer, DigestMismatch, RequestState};
 use super::machine::Entry;
 use super::views::not_ready;
+use crate::admission::QueueRequest;
+use crate::instance::{CallerId, CallerRequest, EntryEffect};
+use crate::outcome::{Refusal, RefusalCode};
+use crate::routing::Policy;
 
 /// Retry delay sent by an instance that has reached its request or caller limit.
 const OVERLOADED_RETRY_MS: u64 = 1_000;
