--- a/bench/src/bin/fescue-entry-baseline.rs
+++ b/bench/src/bin/fescue-entry-baseline.rs
@@ -4,7 +4,7 @@
 use fescueshore::entry::ShareSource;
 use fescueshore::exit_codes::Exit;
 use fescueshore::gateway::EntryVariant;
-use fescueshore::gateway::cli::{EntryArgs, run_variant, usage};
+use fescueshore::gateway::cli::{EntryArgs, print_usage, run_variant};
 use fescueshore::routing::PolicyKind;
 
 /// The entry process as a baseline of measurements; not for production.
@@ -48,7 +48,7 @@
 fn main() -> Exit {
     let args = match BaselineArgs::try_parse() {
         Ok(args) => args,
-        Err(error) => return usage(&error),
+        Err(error) => return print_usage(&error),
     };
     let shares = if args.local_shares {
         ShareSource::OwnDemand
--- a/src/gateway/cli.rs
+++ b/src/gateway/cli.rs
@@ -28,12 +28,12 @@
 pub fn run_entry() -> Exit {
     match EntryArgs::try_parse() {
         Ok(args) => run_variant(args, EntryVariant::default()),
-        Err(error) => usage(&error),
+        Err(error) => print_usage(&error),
     }
 }
 
 /// Prints what is wrong with a command line, or the help that it asks for.
-pub fn usage(error: &clap::Error) -> Exit {
+pub fn print_usage(error: &clap::Error) -> Exit {
     let _ = error.print();
     if error.use_stderr() {
         Exit::Usage
