--- a/src/gateway/actor.rs
+++ b/src/gateway/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the entry's state machine: messages go in, effects are carried out.
+//! The actor that owns the entry's state machine, passes messages to it and executes its effects.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -10,11 +10,11 @@
 use tokio::task::AbortHandle;
 
 use super::caller::{CallerEvent, CallerSender};
-use super::calls::Outside;
+use super::calls::OutboundClients;
 use super::clock::Clock;
-use super::effects::forget_absent;
+use super::effects::drop_unlisted_connections;
 use super::messages::{
-    AskClaim, CallerArrived, CallerLeft, Deliver, IsReady, ListModels, Locate, StreamRead,
+    CallerArrived, CallerLeft, Deliver, IsReady, ListModels, Locate, QueryClaim, StreamRead,
 };
 use super::tally::Tally;
 use crate::entry::Entry;
@@ -24,76 +24,75 @@
 use crate::wire::engine::StreamEvent;
 use crate::wire::local::EntryReport;
 
-/// The state machine as a process runs it.
+/// The state machine with the routing policy chosen at run time.
 pub(crate) type RunningEntry = Entry<PolicyKind>;
 
 /// Time between two updates of the counters.
 const TALLY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Owns the state machine of the entry and what its effects need.
+/// Owns the entry's state machine and the resources needed to execute its effects.
 pub(crate) struct EntryActor {
     entry: RunningEntry,
     clock: Clock,
-    pub(super) outside: Rc<Outside>,
-    /// Callers without a final word.
+    pub(super) outbound: Rc<OutboundClients>,
+    /// Callers that have not received a final response.
     pub(super) callers: IndexMap<CallerId, CallerSender>,
-    /// Open streams; a message about any other is late and dropped.
+    /// Open streams. Messages about any other stream are late and ignored.
     pub(super) streams: IndexMap<CallId, AbortHandle>,
-    /// Other entries that wait for an answer about a claim.
-    pub(super) questions: IndexMap<CallId, oneshot::Sender<bool>>,
-    next_question: u64,
+    /// Claim queries from other entries that have not been answered yet.
+    pub(super) claim_queries: IndexMap<CallId, oneshot::Sender<bool>>,
+    next_claim_query: u64,
     pub(super) reports: mpsc::Sender<EntryReport>,
     pub(super) stopped: watch::Sender<bool>,
     pub(super) tally: Tally,
     counters: Counters,
-    /// What effects give back to the state machine at once.
-    pub(super) echoes: VecDeque<EntryMessage>,
+    /// Messages for the state machine, including those produced while executing effects.
+    pub(super) pending_messages: VecDeque<EntryMessage>,
 }
 
-/// What the actor is made of.
+/// Arguments of [`EntryActor::new`].
 pub(crate) struct EntryActorParts {
     /// The state machine.
     pub(crate) entry: RunningEntry,
     /// The process's clock.
     pub(crate) clock: Clock,
     /// Connections to everything the entry calls.
-    pub(crate) outside: Outside,
-    /// To the control of this instance.
+    pub(crate) outbound: OutboundClients,
+    /// Channel for reports to this instance's control process.
     pub(crate) reports: mpsc::Sender<EntryReport>,
-    /// Set once everything in flight has ended after a stop.
+    /// Set to `true` after a stop, once all requests in flight have ended.
     pub(crate) stopped: watch::Sender<bool>,
     /// The process's counters.
     pub(crate) counters: Counters,
 }
 
 impl EntryActor {
-    /// An actor that has got no message yet.
     pub(crate) fn new(parts: EntryActorParts) -> Self {
         Self {
             entry: parts.entry,
             clock: parts.clock,
-            outside: Rc::new(parts.outside),
+            outbound: Rc::new(parts.outbound),
             callers: IndexMap::new(),
             streams: IndexMap::new(),
-            questions: IndexMap::new(),
-            next_question: 0,
+            claim_queries: IndexMap::new(),
+            next_claim_query: 0,
             reports: parts.reports,
             stopped: parts.stopped,
             tally: Tally::default(),
             counters: parts.counters,
-            echoes: VecDeque::new(),
+            pending_messages: VecDeque::new(),
         }
     }
 
-    /// Hands a message to the state machine and carries out what it wants done.
+    /// Passes a message to the state machine and executes the resulting effects.
     fn deliver(&mut self, message: EntryMessage, ctx: &mut Context<Self>) {
         if let EntryMessage::SnapshotChanged { snapshot } = &message {
-            forget_absent(&self.outside, snapshot);
+            drop_unlisted_connections(&self.outbound, snapshot);
         }
-        self.echoes.push_back(message);
-        while let Some(message) = self.echoes.pop_front() {
+        self.pending_messages.push_back(message);
+        while let Some(message) = self.pending_messages.pop_front() {
             for effect in self.entry.handle(message, self.clock.now_ms()) {
-                self.carry_out(effect, ctx);
+                self.execute_effect(effect, ctx);
             }
         }
     }
@@ -117,9 +116,9 @@
         }
     }
 
-    /// Whether an event's stream is open. After its last event a stream is not open any more, but
-    /// its task goes on, to give the connection back.
-    fn is_wanted(&mut self, call: CallId, event: &StreamEvent) -> bool {
+    /// Returns whether the stream of an event is open. The last event removes the stream from the
+    /// open ones; its task keeps running to return the connection to the pool.
+    fn accept_event(&mut self, call: CallId, event: &StreamEvent) -> bool {
         if event.is_last() {
             self.streams.swap_remove(&call).is_some()
         } else {
@@ -127,7 +126,7 @@
         }
     }
 
-    /// Sends an event to a caller. One that reads too slowly is dropped.
+    /// Sends an event to a caller. A caller whose event buffer is full is dropped.
     pub(super) fn send_to_caller(&mut self, caller: CallerId, event: CallerEvent) {
         let Some(events) = self.callers.get(&caller) else {
             return;
@@ -140,7 +139,8 @@
         if sent.is_err() {
             self.tally.callers_dropped += 1;
             if !last {
-                self.echoes.push_back(EntryMessage::CallerGone { caller });
+                self.pending_messages
+                    .push_back(EntryMessage::CallerGone { caller });
             }
         }
     }
@@ -157,7 +157,8 @@
     }
 }
 
-/// Messages that wait at most when the sender waits too; the rest is bounded by open connections.
+/// Mailbox capacity for senders that wait. Messages sent with `do_send` bypass it; their number is
+/// bounded by the open connections.
 const MAILBOX_CAPACITY: usize = 1_024;
 
 impl Handler<Deliver> for EntryActor {
@@ -199,7 +200,7 @@
     fn handle(&mut self, read: StreamRead, ctx: &mut Self::Context) {
         let call = read.call;
         for event in read.events {
-            if !self.is_wanted(call, &event) {
+            if !self.accept_event(call, &event) {
                 return;
             }
             self.deliver(EntryMessage::StreamEvent { call, event }, ctx);
@@ -212,18 +213,18 @@
     }
 }
 
-impl Handler<AskClaim> for EntryActor {
+impl Handler<QueryClaim> for EntryActor {
     type Result = ResponseFuture<bool>;
 
-    fn handle(&mut self, ask: AskClaim, ctx: &mut Self::Context) -> Self::Result {
+    fn handle(&mut self, query: QueryClaim, ctx: &mut Self::Context) -> Self::Result {
         let (sender, answer) = oneshot::channel();
-        let call = CallId(self.next_question);
-        self.next_question += 1;
-        self.questions.insert(call, sender);
+        let call = CallId(self.next_claim_query);
+        self.next_claim_query += 1;
+        self.claim_queries.insert(call, sender);
         let message = EntryMessage::HolderAsked {
             call,
-            incarnation: ask.0.incarnation,
-            claim: ask.0.claim,
+            incarnation: query.0.incarnation,
+            claim: query.0.claim,
         };
         self.deliver(message, ctx);
         Box::pin(async move { answer.await.unwrap_or(false) })
--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Gives a caller its answer as the events come.
+//! Converts the events of a request into its HTTP response.
 
 use std::time::Duration;
 
@@ -11,25 +11,25 @@
 use thiserror::Error;
 
 use super::caller::{CallerEvent, WaitingCaller};
-use super::chunk::{AnswerHead, ChunkRenderer, HEARTBEAT, put_error, whole_answer};
-use super::reply::{begin, pass_on, refuse};
+use super::chunk::{AnswerHead, ChunkRenderer, HEARTBEAT, full_answer, put_error};
+use super::reply::{begin, forward_reply, refuse};
 use super::request::AnswerForm;
 use crate::ids::RequestId;
 use crate::outcome::{Outcome, Refusal, RefusalCode};
 
-/// Longest silence of a stream that has begun.
+/// Maximum time between two writes to a response stream, after which a heartbeat is sent.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
-/// Events rendered into one piece of a stream at most.
-const EVENTS_PER_PIECE: usize = 64;
-/// Room for a rendered token.
+/// Maximum number of events rendered into one chunk of the response body.
+const MAX_EVENTS_PER_CHUNK: usize = 64;
+/// Buffer capacity reserved for each rendered token.
 const CHUNK_BYTES: usize = 256;
 
 /// A stream ended without the final word; its connection is cut so that it is not taken for whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the answer was cut short")]
-pub(crate) struct AnswerCut;
+#[error("response stream truncated before its end")]
+pub(crate) struct ResponseTruncated;
 
-/// Answers a completion.
+/// Responds to a completion request.
 pub(crate) async fn answer_completion(
     mut caller: WaitingCaller,
     form: AnswerForm,
@@ -38,11 +38,11 @@
 ) -> HttpResponse {
     let head = AnswerHead::new(&form, request, unix_ms);
     if !form.streamed {
-        return answer_whole(&mut caller, &form, &head, request).await;
+        return answer_unstreamed(&mut caller, &form, &head, request).await;
     }
     match caller.next().await {
         Some(CallerEvent::Refusal(refusal)) => refuse(&refusal, request),
-        Some(CallerEvent::Reply { .. }) | None => refuse(&cut_short(), request),
+        Some(CallerEvent::Reply { .. }) | None => refuse(&missing_final_response(), request),
         Some(first) => begin(StatusCode::OK, Outcome::Done, request)
             .insert_header((CONTENT_TYPE, "text/event-stream"))
             .insert_header((CACHE_CONTROL, "no-cache"))
@@ -50,19 +50,19 @@
     }
 }
 
-/// Answers a call of an application service.
+/// Responds to a call of an application service.
 pub(crate) async fn answer_application(
     mut caller: WaitingCaller,
     request: &RequestId,
 ) -> HttpResponse {
     match caller.next().await {
-        Some(CallerEvent::Reply { reply, replayed }) => pass_on(reply, replayed, request),
+        Some(CallerEvent::Reply { reply, replayed }) => forward_reply(reply, replayed, request),
         Some(CallerEvent::Refusal(refusal)) => refuse(&refusal, request),
-        _ => refuse(&cut_short(), request),
+        _ => refuse(&missing_final_response(), request),
     }
 }
 
-async fn answer_whole(
+async fn answer_unstreamed(
     caller: &mut WaitingCaller,
     form: &AnswerForm,
     head: &AnswerHead,
@@ -81,7 +81,7 @@
                 positions,
                 cut_by_length,
             } => {
-                let body = whole_answer(form, head, text, positions, cut_by_length);
+                let body = full_answer(form, head, text, positions, cut_by_length);
                 return begin(StatusCode::OK, Outcome::Done, request)
                     .insert_header((CONTENT_TYPE, "application/json"))
                     .body(body);
@@ -90,11 +90,12 @@
             CallerEvent::Reply { .. } => break,
         }
     }
-    refuse(&cut_short(), request)
+    refuse(&missing_final_response(), request)
 }
 
-/// The final word when there was none: it may have run.
-fn cut_short() -> Refusal {
+/// The refusal sent if the actor dropped the caller without a final response. The request may have
+/// run, so its outcome is unknown.
+fn missing_final_response() -> Refusal {
     Refusal::unknown(RefusalCode::EndpointFailed, None)
 }
 
@@ -109,7 +110,7 @@
     caller: WaitingCaller,
     renderer: ChunkRenderer,
     first: CallerEvent,
-) -> impl Stream<Item = Result<Bytes, AnswerCut>> {
+) -> impl Stream<Item = Result<Bytes, ResponseTruncated>> {
     let answer = AnswerStream {
         caller,
         renderer,
@@ -117,22 +118,24 @@
         ended: false,
     };
     unfold(answer, |mut answer| async move {
-        let piece = answer.next_piece().await?;
-        Some((piece, answer))
+        let chunk = answer.next_chunk().await?;
+        Some((chunk, answer))
     })
 }
 
 impl AnswerStream {
-    async fn next_piece(&mut self) -> Option<Result<Bytes, AnswerCut>> {
+    async fn next_chunk(&mut self) -> Option<Result<Bytes, ResponseTruncated>> {
         if self.ended {
             return None;
         }
         if self.events.is_empty() {
-            let more = self.caller.next_many(&mut self.events, EVENTS_PER_PIECE);
+            let more = self
+                .caller
+                .next_many(&mut self.events, MAX_EVENTS_PER_CHUNK);
             match tokio::time::timeout(HEARTBEAT_INTERVAL, more).await {
                 Ok(0) => {
                     self.ended = true;
-                    return Some(Err(AnswerCut));
+                    return Some(Err(ResponseTruncated));
                 }
                 Ok(_) => {}
                 Err(_) => return Some(Ok(Bytes::from_static(HEARTBEAT))),
@@ -141,7 +144,7 @@
         Some(self.render())
     }
 
-    fn render(&mut self) -> Result<Bytes, AnswerCut> {
+    fn render(&mut self) -> Result<Bytes, ResponseTruncated> {
         let mut out = BytesMut::with_capacity(self.events.len() * CHUNK_BYTES);
         for event in self.events.drain(..) {
             match event {
@@ -156,7 +159,7 @@
                 }
                 CallerEvent::Reply { .. } => {
                     self.ended = true;
-                    return Err(AnswerCut);
+                    return Err(ResponseTruncated);
                 }
             }
         }
--- a/src/gateway/application_call.rs
+++ b/src/gateway/application_call.rs
@@ -1,4 +1,4 @@
-//! Calls of application endpoints.
+//! Calls to application endpoints.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,34 +7,32 @@
 use actix_web::http::header::{CONTENT_TYPE, HeaderName};
 use bytes::Bytes;
 
-use super::calls::Outside;
+use super::calls::OutboundClients;
 use super::messages::Deliver;
 use crate::clients::{HttpCall, HttpFailure};
 use crate::instance::{ApplicationFailure, ApplicationReply, CallId, EntryMessage};
 use crate::outcome::{IDEMPOTENCY_KEY_HEADER, REQUEST_ID_HEADER};
 
-/// Largest answer of an application endpoint.
-const REPLY_LIMIT_BYTES: usize = 16 << 20;
+/// Maximum size of a response from an application endpoint.
+const MAX_REPLY_BYTES: usize = 16 << 20;
 
-/// A call of an application endpoint.
+/// A call to an application endpoint.
 #[derive(Debug)]
 pub(crate) struct ApplicationCall {
-    /// Method.
     pub(crate) method: String,
     /// Path and query.
     pub(crate) path: String,
-    /// `Content-Type`, `X-Request-Id`, `Idempotency-Key`, as far as present.
+    /// `Content-Type`, `X-Request-Id` and `Idempotency-Key`, each if present.
     pub(crate) headers: Vec<(HeaderName, String)>,
-    /// Body.
     pub(crate) body: Vec<u8>,
-    /// How long to wait for the whole reply.
+    /// Time limit for receiving the complete response.
     pub(crate) timeout_ms: u64,
-    /// Whether a pooled connection must not be used.
+    /// Whether to open a new connection instead of using a pooled one.
     pub(crate) fresh_connection: bool,
 }
 
 impl ApplicationCall {
-    /// Names the headers passed on to an endpoint.
+    /// Builds the headers forwarded to an endpoint.
     pub(crate) fn headers(
         content_type: Option<String>,
         request: &str,
@@ -57,14 +55,14 @@
     }
 }
 
-/// Calls an application endpoint.
+/// Calls an application endpoint and returns the result as a message for the state machine.
 pub(crate) async fn call_application(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     call: CallId,
     address: SocketAddr,
-    ask: ApplicationCall,
+    request: ApplicationCall,
 ) -> Deliver {
-    let result = ask_application(&outside, address, ask).await;
+    let result = send_application_call(&outbound, address, request).await;
     Deliver(EntryMessage::ApplicationAnswered {
         call,
         result: result.map_err(|failure| match failure {
@@ -74,27 +72,27 @@
     })
 }
 
-async fn ask_application(
-    outside: &Outside,
+async fn send_application_call(
+    outbound: &OutboundClients,
     address: SocketAddr,
-    ask: ApplicationCall,
+    request: ApplicationCall,
 ) -> Result<ApplicationReply, HttpFailure> {
-    let method = Method::from_bytes(ask.method.as_bytes()).map_err(|_| HttpFailure::NotSent)?;
-    let headers = ask.headers.iter();
+    let method = Method::from_bytes(request.method.as_bytes()).map_err(|_| HttpFailure::NotSent)?;
+    let headers = request.headers.iter();
     let http_call = HttpCall {
         method,
-        path: &ask.path,
+        path: &request.path,
         headers: headers
             .map(|(name, value)| (name.clone(), value.as_str()))
             .collect(),
-        body: Bytes::from(ask.body),
+        body: Bytes::from(request.body),
     };
-    let peer = outside.applications.at(address);
-    if ask.fresh_connection {
+    let peer = outbound.applications.at(address);
+    if request.fresh_connection {
         peer.discard_connections();
     }
     let reply = peer
-        .call(http_call, ask.timeout_ms, REPLY_LIMIT_BYTES)
+        .call(http_call, request.timeout_ms, MAX_REPLY_BYTES)
         .await?;
     Ok(ApplicationReply {
         status: reply.status,
--- a/src/gateway/caller.rs
+++ b/src/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! The way from the entry's actor to one waiting caller.
+//! The channel from the entry's actor to the HTTP handler of a waiting caller.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -11,57 +11,57 @@
 use crate::instance::{ApplicationReply, CallerId};
 use crate::outcome::Refusal;
 
-/// Events kept for a caller that reads slowly. Past it the caller is dropped, so that memory stays
-/// bounded and no other caller waits.
-pub(crate) const EVENTS_LIMIT: usize = 4_096;
+/// Maximum number of events buffered for a caller that reads slowly. If the buffer is full, the
+/// caller is dropped, so that memory stays bounded and other callers are not delayed.
+pub(crate) const MAX_BUFFERED_EVENTS: usize = 4_096;
 
-/// What the actor tells a caller's handler.
+/// An event sent from the actor to a caller's handler.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallerEvent {
     /// The next token.
     Token {
-        /// Its text, without separator.
+        /// Token text, without the separator.
         text: String,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Tokens in all.
+        /// Total number of tokens.
         positions: u32,
-        /// Whether `max_tokens` ended it.
+        /// Whether generation stopped at `max_tokens`.
         cut_by_length: bool,
     },
-    /// An application's answer.
+    /// The response of an application.
     Reply {
-        /// The answer.
+        /// The response.
         reply: ApplicationReply,
-        /// Whether it is a recorded one.
+        /// Whether it is a stored response of an earlier call.
         replayed: bool,
     },
-    /// A final word other than an answer.
+    /// A final error.
     Refusal(Refusal),
 }
 
-/// Sending half, kept by the actor.
+/// Sending half of the channel, held by the actor.
 pub(crate) type CallerSender = mpsc::Sender<CallerEvent>;
 
-/// Numbers of callers, how many have not got their whole answer yet, and whether they read.
+/// Assigns caller ids, counts callers with incomplete responses and tracks read progress.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct CallerCount {
+pub(crate) struct CallerTracker {
     next: Arc<AtomicU64>,
     open: Arc<AtomicUsize>,
-    /// Times that any caller's connection took something; only grows.
-    taken: Arc<AtomicU64>,
+    /// Total number of reads by all callers' connections, and of closed callers.
+    reads: Arc<AtomicU64>,
 }
 
-impl CallerCount {
-    /// Callers whose answer is not wholly handed to their connection.
+impl CallerTracker {
+    /// Callers whose response has not been handed to their connection completely.
     pub(crate) fn open(&self) -> usize {
         self.open.load(Ordering::Acquire)
     }
 
-    /// Times that any caller's connection took something.
-    pub(crate) fn taken(&self) -> u64 {
-        self.taken.load(Ordering::Relaxed)
+    /// Total number of reads by all callers' connections; a change shows progress.
+    pub(crate) fn reads(&self) -> u64 {
+        self.reads.load(Ordering::Relaxed)
     }
 
     fn enter(&self) -> CallerId {
@@ -70,54 +70,54 @@
     }
 }
 
-/// A caller's handler side. Dropping it before the final word tells the entry that the caller is
-/// gone.
+/// The handler's side of a caller. Dropping it before the final response notifies the actor that
+/// the caller has disconnected.
 pub(crate) struct WaitingCaller {
     id: CallerId,
     events: mpsc::Receiver<CallerEvent>,
     actor: Addr<EntryActor>,
-    count: CallerCount,
-    /// Whether the final word has been received.
+    tracker: CallerTracker,
+    /// Whether the final response has been received.
     finished: bool,
 }
 
 impl WaitingCaller {
-    /// Opens the way to a new caller.
-    pub(crate) fn open(actor: Addr<EntryActor>, count: CallerCount) -> (Self, CallerSender) {
-        let (sender, events) = mpsc::channel(EVENTS_LIMIT);
+    /// Creates the channel for a new caller.
+    pub(crate) fn open(actor: Addr<EntryActor>, tracker: CallerTracker) -> (Self, CallerSender) {
+        let (sender, events) = mpsc::channel(MAX_BUFFERED_EVENTS);
         let caller = Self {
-            id: count.enter(),
+            id: tracker.enter(),
             events,
             actor,
-            count,
+            tracker,
             finished: false,
         };
         (caller, sender)
     }
 
-    /// The caller's number.
     pub(crate) fn id(&self) -> CallerId {
         self.id
     }
 
-    /// Waits for the next event; `None` if the actor dropped the caller without a final word.
+    /// Waits for the next event. Returns `None` if the actor dropped the caller without a final
+    /// response.
     pub(crate) async fn next(&mut self) -> Option<CallerEvent> {
         let event = self.events.recv().await;
-        self.note(event.as_ref());
+        self.record_received(event.as_ref());
         event
     }
 
-    /// Waits for events and takes up to `limit` of those that are there; 0 if the actor dropped
-    /// the caller without a final word.
+    /// Waits for events and receives up to `limit` of the available ones. Returns 0 if the actor
+    /// dropped the caller without a final response.
     pub(crate) async fn next_many(&mut self, into: &mut Vec<CallerEvent>, limit: usize) -> usize {
         let count = self.events.recv_many(into, limit).await;
-        self.note(into.last());
+        self.record_received(into.last());
         count
     }
 
-    fn note(&mut self, last: Option<&CallerEvent>) {
+    fn record_received(&mut self, last: Option<&CallerEvent>) {
         self.finished |= !matches!(last, Some(CallerEvent::Token { .. }));
-        self.count.taken.fetch_add(1, Ordering::Relaxed);
+        self.tracker.reads.fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -126,7 +126,7 @@
         if !self.finished {
             self.actor.do_send(CallerLeft { caller: self.id });
         }
-        self.count.open.fetch_sub(1, Ordering::AcqRel);
-        self.count.taken.fetch_add(1, Ordering::Relaxed);
+        self.tracker.open.fetch_sub(1, Ordering::AcqRel);
+        self.tracker.reads.fetch_add(1, Ordering::Relaxed);
     }
 }
--- a/src/gateway/calls.rs
+++ b/src/gateway/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform and of engines that end with one reply, one task each.
+//! Calls to the table service and to engines with a single reply. Each call runs in its own task.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,15 +9,16 @@
 use crate::instance::{CallId, EntryMessage, TableCall};
 use crate::settings::Secret;
 
-/// Longest wait for an engine's state or cache events.
+/// Time limit for reading an engine's state or cache events.
 const STATE_TIMEOUT_MS: u64 = 500;
-/// Longest wait for an engine to confirm a cancellation, each time.
+/// Time limit for each attempt to cancel a stream.
 const CANCEL_TIMEOUT_MS: u64 = 1_000;
-/// Times a cancellation is sent at most: a lost one costs the engine the rest of an answer.
-const CANCEL_TRIES: u32 = 2;
+/// Maximum number of attempts to cancel a stream. If the cancellation is lost, the engine generates
+/// the rest of an answer that nobody reads.
+const MAX_CANCEL_ATTEMPTS: u32 = 2;
 
-/// Connections to everything the entry calls.
-pub(crate) struct Outside {
+/// Clients for all services that the entry calls.
+pub(crate) struct OutboundClients {
     /// Table service.
     pub(crate) table: HttpTable,
     /// Model engines.
@@ -26,20 +27,20 @@
     pub(crate) applications: HttpPeers,
     /// Other entries.
     pub(crate) entries: HttpPeers,
-    /// Key shared by the system's own processes.
+    /// Shared key that authenticates the system's own processes to each other.
     pub(crate) peer_key: Secret,
 }
 
-/// Cancels a stream at one stage; nobody waits for the outcome. After a failure the next try takes
-/// a fresh connection.
+/// Cancels a stream at one stage without reporting the outcome. After a failure the next attempt
+/// uses a new connection.
 pub(crate) async fn cancel_stream(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     address: SocketAddr,
     stream: StreamId,
     epoch: u32,
 ) {
-    for _ in 0..CANCEL_TRIES {
-        let cancel = outside
+    for _ in 0..MAX_CANCEL_ATTEMPTS {
+        let cancel = outbound
             .engines
             .cancel(address, stream, epoch, CANCEL_TIMEOUT_MS);
         if cancel.await.is_ok() {
@@ -48,15 +49,15 @@
     }
 }
 
-/// Asks one stage how far it is.
+/// Probes the progress of a stream at one stage.
 pub(crate) async fn probe_stream(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     call: CallId,
     address: SocketAddr,
     stream: StreamId,
     timeout_ms: u64,
 ) -> Deliver {
-    let answer = outside.engines.progress(address, stream, timeout_ms).await;
+    let answer = outbound.engines.progress(address, stream, timeout_ms).await;
     let (progress, reachable) = match answer {
         Ok(progress) => (progress, true),
         Err(EngineCallFailure::Refused { .. }) => (None, true),
@@ -69,24 +70,24 @@
     })
 }
 
-/// Asks an engine what it holds.
+/// Reads the state of an engine.
 pub(crate) async fn read_engine_state(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     endpoint: EndpointId,
     address: SocketAddr,
 ) -> Deliver {
-    let state = outside.engines.state(address, STATE_TIMEOUT_MS).await.ok();
+    let state = outbound.engines.state(address, STATE_TIMEOUT_MS).await.ok();
     Deliver(EntryMessage::EngineStateRead { endpoint, state })
 }
 
-/// Asks an engine for cache events; without an answer there is nothing to tell.
+/// Reads cache events from an engine. Returns `None` if the call fails.
 pub(crate) async fn read_cache_events(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     endpoint: EndpointId,
     address: SocketAddr,
     after: u64,
 ) -> Option<Deliver> {
-    let answer = outside
+    let answer = outbound
         .engines
         .cache_events(address, after, STATE_TIMEOUT_MS)
         .await;
@@ -96,11 +97,11 @@
 
 /// Calls the table service.
 pub(crate) async fn call_table(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     call: CallId,
-    ask: TableCall,
+    request: TableCall,
     timeout_ms: u64,
 ) -> Deliver {
-    let result = clients::call_table(&outside.table, &ask, timeout_ms).await;
+    let result = clients::call_table(&outbound.table, &request, timeout_ms).await;
     Deliver(EntryMessage::TableAnswered { call, result })
 }
--- a/src/gateway/chunk.rs
+++ b/src/gateway/chunk.rs
@@ -1,4 +1,4 @@
-//! Renders completions: chunks of a streamed answer, and whole answers.
+//! Renders completions, either as chunks of a stream or as one JSON body.
 
 use bytes::{BufMut, BytesMut};
 
@@ -10,25 +10,24 @@
     ChatAnswer, ChatChoice, ChatDelta, FinishReason, TextAnswer, TextChoice, Usage,
 };
 
-/// Written while an answer pauses, so that each side can tell a pause from a dead connection.
+/// Sent while no token is available, so that both sides can tell a pause from a dead connection.
 pub(crate) const HEARTBEAT: &[u8] = b": heartbeat\n\n";
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// Renders the chunks of one streamed answer. What all chunks share is rendered once.
+/// Renders the chunks of one streamed answer. The part shared by all chunks is rendered once.
 pub(crate) struct ChunkRenderer {
     form: AnswerForm,
     head: AnswerHead,
-    /// What comes before a token's text in any but the first chunk.
+    /// Bytes before a token's text in every chunk except the first one of a chat.
     before: Vec<u8>,
-    /// What comes behind it.
+    /// Bytes after a token's text.
     after: &'static [u8],
     tokens: u32,
 }
 
-/// What every chunk of an answer repeats.
+/// Fields that are identical in every chunk of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerHead {
-    /// Id of the answer.
     id: String,
     /// Seconds since the Unix epoch.
     created: u64,
@@ -36,7 +35,7 @@
 }
 
 impl AnswerHead {
-    /// The head of an answer begun now.
+    /// Creates the shared fields of an answer started at `unix_ms`.
     pub(crate) fn new(form: &AnswerForm, request: &RequestId, unix_ms: u64) -> Self {
         let prefix = match form.shape {
             AnswerShape::Chat => "chatcmpl",
@@ -73,7 +72,6 @@
 }
 
 impl ChunkRenderer {
-    /// A renderer for an answer that has not begun.
     pub(crate) fn new(form: AnswerForm, head: AnswerHead) -> Self {
         let mut before = Vec::new();
         put_prefix(&mut before, &form, &head);
@@ -90,7 +88,7 @@
         }
     }
 
-    /// Renders a token. The first chunk of a chat names the role too.
+    /// Renders a token. The first chunk of a chat also contains the role.
     pub(crate) fn put_token(&mut self, out: &mut BytesMut, text: &str) {
         let first = self.tokens == 0;
         self.tokens += 1;
@@ -106,7 +104,7 @@
         out.put_slice(self.after);
     }
 
-    /// Renders the end of a whole answer.
+    /// Renders the finish reason, the usage if requested, and the end marker.
     pub(crate) fn put_end(&mut self, out: &mut BytesMut, cut_by_length: bool) {
         let reason = finish_reason(cut_by_length);
         self.put_chunk(out, Some(reason), None);
@@ -162,14 +160,14 @@
     }
 }
 
-/// Renders the event that ends a stream which cannot be completed.
+/// Renders the error event that ends an incomplete stream.
 pub(crate) fn put_error(out: &mut BytesMut, refusal: &Refusal) {
     out.put_slice(b"event: error\n");
     put_data(out, &error_answer(refusal, message(refusal.code)));
 }
 
-/// Renders a whole answer as JSON.
-pub(crate) fn whole_answer(
+/// Renders a complete answer as JSON.
+pub(crate) fn full_answer(
     form: &AnswerForm,
     head: &AnswerHead,
     text: String,
@@ -233,7 +231,7 @@
     out.extend_from_slice(prefix.as_bytes());
 }
 
-/// Writes text as the inside of a JSON string.
+/// Writes text as the content of a JSON string, without the quotes.
 fn put_escaped(out: &mut BytesMut, text: &str) {
     let plain = |byte: u8| byte >= 0x20 && byte != b'"' && byte != b'\\';
     if text.bytes().all(plain) {
@@ -258,7 +256,8 @@
     serde_json::Value::from(text).to_string()
 }
 
-/// The types rendered here have string keys and finite numbers only, so this cannot fail.
+/// Serializes a value. The types used here have only string keys and finite numbers, so this cannot
+/// fail.
 fn to_json<T>(value: &T) -> Vec<u8>
 where
     T: serde::Serialize,
--- a/src/gateway/claim_call.rs
+++ b/src/gateway/claim_call.rs
@@ -1,11 +1,11 @@
-//! Questions to other entries about claims.
+//! Queries to other entries about the claims they hold.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use actix_web::http::header::AUTHORIZATION;
 
-use super::calls::Outside;
+use super::calls::OutboundClients;
 use super::messages::Deliver;
 use crate::clients::{HttpCall, HttpFailure};
 use crate::ids::{Incarnation, InstanceId};
@@ -13,22 +13,22 @@
 use crate::wire::WIRE_VERSION;
 use crate::wire::claim::{CLAIMS_PATH, ClaimAnswer, ClaimQuestion};
 
-/// Largest answer to a question about a claim.
-const REPLY_LIMIT_BYTES: usize = 4 << 10;
+/// Maximum size of a response to a claim query.
+const MAX_REPLY_BYTES: usize = 4 << 10;
 
-/// Asks the holder of a claim whether it still works on it.
-pub(crate) async fn ask_holder(
-    outside: Rc<Outside>,
+/// Asks the holder of a claim whether it is still processing the claimed request.
+pub(crate) async fn query_holder(
+    outbound: Rc<OutboundClients>,
     call: CallId,
     address: SocketAddr,
     question: ClaimQuestion,
     timeout_ms: u64,
 ) -> Deliver {
-    let working = ask_claim(&outside, address, &question, timeout_ms).await;
+    let working = query_claim(&outbound, address, &question, timeout_ms).await;
     Deliver(EntryMessage::HolderAnswered { call, working })
 }
 
-/// Words a question about a claim.
+/// Builds a claim query.
 pub(crate) fn claim_question(
     instance: InstanceId,
     incarnation: Incarnation,
@@ -42,19 +42,19 @@
     }
 }
 
-/// Asks over HTTP. A holder listens for as long as it lives, so where nothing listens it is gone;
-/// a paused one still listens, and gives no answer.
-async fn ask_claim(
-    outside: &Outside,
+/// Sends the query over HTTP. A holder listens for as long as its process lives, so a refused
+/// connection proves that it is gone. A paused holder still listens but does not answer.
+async fn query_claim(
+    outbound: &OutboundClients,
     address: SocketAddr,
     question: &ClaimQuestion,
     timeout_ms: u64,
 ) -> Option<bool> {
-    let bearer = format!("Bearer {}", outside.peer_key.expose());
+    let bearer = format!("Bearer {}", outbound.peer_key.expose());
     let mut http_call = HttpCall::post_json(CLAIMS_PATH, question).ok()?;
     http_call.headers.push((AUTHORIZATION, &bearer));
-    let peer = outside.entries.at(address);
-    let called = peer.call(http_call, timeout_ms, REPLY_LIMIT_BYTES).await;
+    let peer = outbound.entries.at(address);
+    let called = peer.call(http_call, timeout_ms, MAX_REPLY_BYTES).await;
     let reply = match called {
         Ok(reply) if reply.status == 200 => reply,
         Err(HttpFailure::NoListener) => return Some(false),
--- a/src/gateway/cli.rs
+++ b/src/gateway/cli.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Prints what is wrong with a command line, or the help that it asks for.
+/// Prints a command line error, or the requested help or version.
 pub fn print_usage(error: &clap::Error) -> Exit {
     let _ = error.print();
     if error.use_stderr() {
@@ -42,7 +42,7 @@
     }
 }
 
-/// Runs an entry process of a variant.
+/// Runs an entry process with the given variant.
 pub fn run_variant(args: EntryArgs, variant: EntryVariant) -> Exit {
     let settings = match read_settings(&args) {
         Ok(settings) => settings,
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -1,8 +1,8 @@
-//! The time, read by drivers and passed to decisions.
+//! The process clock. Drivers read it and pass the time to the state machine.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The two clocks of a process.
+/// Monotonic time since the process started, and the Unix time at that moment.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Instant,
@@ -15,13 +15,13 @@
         let unix = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
             started: Instant::now(),
-            started_unix_ms: unix.map_or(0, whole_ms),
+            started_unix_ms: unix.map_or(0, as_millis),
         }
     }
 
     /// Milliseconds since the process started.
     pub(crate) fn now_ms(self) -> u64 {
-        whole_ms(self.started.elapsed())
+        as_millis(self.started.elapsed())
     }
 
     /// Milliseconds since the Unix epoch at the start of the monotonic clock.
@@ -29,12 +29,12 @@
         self.started_unix_ms
     }
 
-    /// Milliseconds since the Unix epoch; never goes back.
+    /// Milliseconds since the Unix epoch; never decreases.
     pub(crate) fn unix_ms(self) -> u64 {
         self.started_unix_ms + self.now_ms()
     }
 }
 
-fn whole_ms(duration: Duration) -> u64 {
+fn as_millis(duration: Duration) -> u64 {
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/gateway/control_link.rs
+++ b/src/gateway/control_link.rs
@@ -1,4 +1,4 @@
-//! The exchange with the control process of the same instance.
+//! Exchanges reports and snapshots with the control process of the same instance.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,23 +18,24 @@
 use crate::telemetry::Counters;
 use crate::wire::local::{EntryReport, ExchangeReply};
 
-/// Reports that wait at most; a later one says nearly the same.
-pub(crate) const REPORTS_WAITING: usize = 8;
-/// Longest wait for a connection, and for an answer on it.
+/// Maximum number of queued reports. Further reports are dropped: consecutive reports are nearly
+/// identical.
+pub(crate) const MAX_QUEUED_REPORTS: usize = 8;
+/// Time limit for connecting, and for each response.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why an exchange failed.
 #[derive(Debug, Error)]
 enum ExchangeFailure {
-    /// No connection, or it broke, or the control answered with an error.
+    /// The connection failed, or the control process returned an error.
     #[error(transparent)]
     Client(#[from] ClientError),
-    /// The control gave no answer in time.
-    #[error("no answer in time")]
-    Silent(#[from] Elapsed),
+    /// The control process did not respond in time.
+    #[error("no response from the control process within {EXCHANGE_TIMEOUT:?}")]
+    Timeout(#[from] Elapsed),
 }
 
-/// The way to the control.
+/// The connection to the control process.
 pub(crate) struct ControlLink {
     url: String,
     key: Secret,
@@ -44,7 +45,7 @@
 }
 
 impl ControlLink {
-    /// A link that is not connected yet.
+    /// Creates a link without connecting it.
     pub(crate) fn new(control: SocketAddr, key: Secret, counters: Counters) -> Self {
         Self {
             url: format!("ws://{control}"),
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Sends reports until the actor is gone; hands it each new snapshot. Without an answer the
-    /// entry goes on with the last one, and the next report takes a fresh connection.
+    /// Sends reports until the actor ends, and passes each new snapshot to it. If an exchange fails,
+    /// the entry keeps using the last snapshot, and the next report uses a new connection.
     pub(crate) async fn run(
         mut self,
         mut reports: mpsc::Receiver<EntryReport>,
@@ -64,7 +65,7 @@
     ) {
         while let Some(report) = reports.recv().await {
             let result = self.exchange(report).await;
-            self.note(&result);
+            self.record_result(&result);
             let Ok(reply) = result else {
                 self.client = None;
                 continue;
@@ -88,18 +89,18 @@
         Ok(reply)
     }
 
-    fn note(&mut self, result: &Result<ExchangeReply, ExchangeFailure>) {
+    fn record_result(&mut self, result: &Result<ExchangeReply, ExchangeFailure>) {
         match result {
             Ok(_) if !self.reachable => {
                 self.reachable = true;
-                log::info!(control = self.url.as_str(); "control reached");
+                log::info!(control = self.url.as_str(); "connected to the control process");
             }
             Err(failure) => {
                 self.counters.count("gateway.exchanges.failed");
                 if self.reachable {
                     self.reachable = false;
                     let cause = failure.to_string();
-                    log::warn!(control = self.url.as_str(), cause = cause.as_str(); "control lost; going on with the last snapshot");
+                    log::warn!(control = self.url.as_str(), cause = cause.as_str(); "control process unreachable; continuing with the last snapshot");
                 }
             }
             Ok(_) => {}
--- a/src/gateway/effects.rs
+++ b/src/gateway/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects of the entry's state machine.
+//! Executes the effects of the entry's state machine.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 use super::actor::EntryActor;
 use super::application_call::{ApplicationCall, call_application};
 use super::caller::CallerEvent;
-use super::calls::{self, Outside};
-use super::claim_call::{ask_holder, claim_question};
+use super::calls::{self, OutboundClients};
+use super::claim_call::{claim_question, query_holder};
 use super::messages::Deliver;
 use super::stream_call::run_stream;
 use crate::instance::{CallId, EntryEffect};
@@ -19,9 +19,9 @@
 use crate::wire::local::{EntryReport, Snapshot};
 
 impl EntryActor {
-    /// Carries out one effect; never waits.
-    pub(super) fn carry_out(&mut self, effect: EntryEffect, ctx: &mut Context<Self>) {
-        let outside = Rc::clone(&self.outside);
+    /// Executes one effect without blocking.
+    pub(super) fn execute_effect(&mut self, effect: EntryEffect, ctx: &mut Context<Self>) {
+        let outbound = Rc::clone(&self.outbound);
         match effect {
             EntryEffect::SendToken { caller, text, .. } => {
                 self.send_to_caller(caller, CallerEvent::Token { text });
@@ -63,7 +63,7 @@
                 epoch,
             } => {
                 self.tally.cancels += 1;
-                actix_rt::spawn(calls::cancel_stream(outside, address, stream, epoch));
+                actix_rt::spawn(calls::cancel_stream(outbound, address, stream, epoch));
             }
             EntryEffect::ProbeStream {
                 call,
@@ -71,18 +71,18 @@
                 stream,
                 timeout_ms,
             } => {
-                let probe = calls::probe_stream(outside, call, address, stream, timeout_ms);
+                let probe = calls::probe_stream(outbound, call, address, stream, timeout_ms);
                 run_call(probe, ctx);
             }
             EntryEffect::ReadEngineState { endpoint, address } => {
-                run_call(calls::read_engine_state(outside, endpoint, address), ctx);
+                run_call(calls::read_engine_state(outbound, endpoint, address), ctx);
             }
             EntryEffect::ReadCacheEvents {
                 endpoint,
                 address,
                 after,
             } => run_call(
-                calls::read_cache_events(outside, endpoint, address, after),
+                calls::read_cache_events(outbound, endpoint, address, after),
                 ctx,
             ),
             EntryEffect::CallApplication {
@@ -99,7 +99,7 @@
             } => {
                 self.tally.application_calls += 1;
                 let key = idempotency_key.as_ref().map(|key| key.as_str());
-                let ask = ApplicationCall {
+                let http_call = ApplicationCall {
                     method,
                     path,
                     headers: ApplicationCall::headers(content_type, request.as_str(), key),
@@ -107,7 +107,7 @@
                     timeout_ms,
                     fresh_connection,
                 };
-                run_call(call_application(outside, call, address, ask), ctx);
+                run_call(call_application(outbound, call, address, http_call), ctx);
             }
             EntryEffect::CallTable {
                 call,
@@ -115,7 +115,7 @@
                 timeout_ms,
             } => {
                 self.tally.table_calls += 1;
-                run_call(calls::call_table(outside, call, table, timeout_ms), ctx);
+                run_call(calls::call_table(outbound, call, table, timeout_ms), ctx);
             }
             EntryEffect::AskHolder {
                 call,
@@ -126,12 +126,12 @@
                 timeout_ms,
             } => {
                 let question = claim_question(instance, incarnation, claim);
-                let ask = ask_holder(outside, call, address, question, timeout_ms);
-                run_call(ask, ctx);
+                let query = query_holder(outbound, call, address, question, timeout_ms);
+                run_call(query, ctx);
             }
             EntryEffect::AnswerHolder { call, working } => {
-                if let Some(question) = self.questions.swap_remove(&call) {
-                    let _ = question.send(working);
+                if let Some(reply) = self.claim_queries.swap_remove(&call) {
+                    let _ = reply.send(working);
                 }
             }
             EntryEffect::Report { report } => self.report(report),
@@ -150,14 +150,15 @@
         ctx: &mut Context<Self>,
     ) {
         self.tally.streams += 1;
-        let outside = Rc::clone(&self.outside);
+        let outbound = Rc::clone(&self.outbound);
         let actor = ctx.address();
-        let stream = run_stream(outside, actor, call, address, open, fresh_connection);
+        let stream = run_stream(outbound, actor, call, address, open, fresh_connection);
         let task = actix_rt::spawn(stream);
         self.streams.insert(call, task.abort_handle());
     }
 
-    /// Reports are worth little when late: one that finds no room is lost and counted.
+    /// Queues a report. If the queue is full the report is dropped and counted, since a late report
+    /// has little value.
     fn report(&mut self, report: EntryReport) {
         if self.reports.try_send(report).is_err() {
             self.tally.reports_lost += 1;
@@ -165,7 +166,7 @@
     }
 }
 
-/// Runs a call beside the actor; its message, if it has one, comes back through the mailbox.
+/// Runs a call as a separate task that sends its message, if any, to the actor's mailbox.
 fn run_call<F, M>(call: F, ctx: &mut Context<EntryActor>)
 where
     F: Future<Output = M> + 'static,
@@ -179,13 +180,13 @@
     });
 }
 
-/// Forgets connections to what a new snapshot does not name.
-pub(super) fn forget_absent(outside: &Outside, snapshot: &Snapshot) {
+/// Drops connections to endpoints and entries that a new snapshot does not list.
+pub(super) fn drop_unlisted_connections(outbound: &OutboundClients, snapshot: &Snapshot) {
     let endpoints = snapshot.endpoints.iter().map(|record| record.address);
     let endpoints: IndexSet<SocketAddr> = endpoints.collect();
     let entries = snapshot.entries.iter().map(|record| record.address);
     let entries: IndexSet<SocketAddr> = entries.collect();
-    outside.engines.retain(|at| endpoints.contains(&at));
-    outside.applications.retain(|at| endpoints.contains(&at));
-    outside.entries.retain(|at| entries.contains(&at));
+    outbound.engines.retain(|at| endpoints.contains(&at));
+    outbound.applications.retain(|at| endpoints.contains(&at));
+    outbound.entries.retain(|at| entries.contains(&at));
 }
--- a/src/gateway/handlers.rs
+++ b/src/gateway/handlers.rs
@@ -1,5 +1,5 @@
-//! HTTP handlers of callers' requests. They read the request and hand it to the actor; what
-//! becomes of it is decided there.
+//! HTTP handlers for callers' requests. They parse the request and pass it to the actor, which
+//! decides how to process it.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 use super::answer::{answer_application, answer_completion};
 use super::caller::WaitingCaller;
 use super::messages::CallerArrived;
-use super::reply::{refuse, refuse_saying};
+use super::reply::{refuse, refuse_with_message};
 use super::request::{
-    AnswerShape, BadRequest, RequestHead, digest_request, draw_request_id, read_completion,
+    AnswerShape, BadRequest, RequestHead, digest_request, generate_request_id, read_completion,
     read_content_type, read_head, split_service_path,
 };
 use super::state::{BodyLimits, Gateway};
@@ -49,12 +49,12 @@
         Err(refused) => return refused,
     };
     let request = head.request.clone();
-    let (asked, form) = match read_completion(shape, &body) {
+    let (request_body, form) = match read_completion(shape, &body) {
         Ok(completion) => completion,
         Err(bad) => return refuse_bad(gateway, &bad, &head),
     };
     let digest = digest_request(http.method().as_str(), http.path(), &body);
-    let caller = arrive(gateway, head, digest, asked);
+    let caller = submit(gateway, head, digest, request_body);
     answer_completion(caller, form, &request, gateway.clock.unix_ms()).await
 }
 
@@ -79,18 +79,18 @@
     };
     let method = http.method().as_str();
     let digest = digest_request(method, path, &body);
-    let asked = RequestBody::Application {
+    let request_body = RequestBody::Application {
         service,
         method: method.to_owned(),
         path: path.to_owned(),
         content_type: read_content_type(http.headers()),
         body: body.to_vec(),
     };
-    let caller = arrive(&gateway, head, digest, asked);
+    let caller = submit(&gateway, head, digest, request_body);
     answer_application(caller, &request).await
 }
 
-/// Reads headers and body, or renders why they cannot be read.
+/// Reads headers and body, or returns the error response for an unreadable request.
 async fn read(
     gateway: &Gateway,
     http: &HttpRequest,
@@ -98,7 +98,7 @@
 ) -> Result<(RequestHead, Bytes), HttpResponse> {
     let head = read_head(http.headers()).map_err(|bad| {
         gateway.counters.count("entry.unreadable_requests");
-        refuse_saying(&bad.refusal(), &bad.to_string(), &draw_request_id())
+        refuse_with_message(&bad.refusal(), &bad.to_string(), &generate_request_id())
     })?;
     match read_body(payload, gateway.body_limits).await {
         Ok(body) => Ok((head, body)),
@@ -109,29 +109,29 @@
 async fn read_body(mut payload: Payload, limits: BodyLimits) -> Result<Bytes, BadRequest> {
     let timeout_ms = limits.timeout_ms;
     let incomplete = BadRequest::BodyIncomplete { timeout_ms };
-    let whole = async {
+    let receive = async {
         let mut body = BytesMut::new();
-        while let Some(piece) = payload.next().await {
-            let piece = piece.map_err(|_| incomplete.clone())?;
-            if body.len() + piece.len() > limits.max_bytes {
+        while let Some(chunk) = payload.next().await {
+            let chunk = chunk.map_err(|_| incomplete.clone())?;
+            if body.len() + chunk.len() > limits.max_bytes {
                 return Err(BadRequest::BodyTooLarge {
                     limit_bytes: limits.max_bytes,
                 });
             }
-            body.extend_from_slice(&piece);
+            body.extend_from_slice(&chunk);
         }
         Ok(body.freeze())
     };
-    let read = tokio::time::timeout(Duration::from_millis(timeout_ms), whole).await;
+    let read = tokio::time::timeout(Duration::from_millis(timeout_ms), receive).await;
     read.unwrap_or_else(|_| Err(incomplete.clone()))
 }
 
 fn refuse_bad(gateway: &Gateway, bad: &BadRequest, head: &RequestHead) -> HttpResponse {
     gateway.counters.count("entry.unreadable_requests");
-    refuse_saying(&bad.refusal(), &bad.to_string(), &head.request)
+    refuse_with_message(&bad.refusal(), &bad.to_string(), &head.request)
 }
 
-fn arrive(
+fn submit(
     gateway: &Gateway,
     head: RequestHead,
     digest: [u8; 32],
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -1,4 +1,4 @@
-//! What reaches the entry's actor.
+//! Messages of the entry's actor.
 
 use actix::Message;
 
@@ -11,12 +11,12 @@
 use crate::wire::engine::StreamEvent;
 use crate::wire::locate::LocateAnswer;
 
-/// A message for the state machine, as it is.
+/// A message passed to the state machine unchanged.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct Deliver(pub(crate) EntryMessage);
 
-/// A caller asks.
+/// A caller sent a request.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct CallerArrived {
@@ -24,11 +24,11 @@
     pub(crate) caller: CallerId,
     /// The request.
     pub(crate) request: CallerRequest,
-    /// Where its events go.
+    /// Channel for the caller's events.
     pub(crate) events: CallerSender,
 }
 
-/// A caller went away before the final word.
+/// A caller disconnected before the final response.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct CallerLeft {
@@ -44,26 +44,26 @@
     pub(crate) call: CallId,
     /// The events, in order.
     pub(crate) events: Vec<StreamEvent>,
-    /// Set if none will follow although the stream has not ended.
+    /// Set if the stream failed before its last event.
     pub(crate) failure: Option<StreamFailure>,
 }
 
-/// Another entry asks about a claim.
+/// A query from another entry about a claim.
 #[derive(Debug, Message)]
 #[rtype(result = "bool")]
-pub(crate) struct AskClaim(pub(crate) ClaimQuestion);
+pub(crate) struct QueryClaim(pub(crate) ClaimQuestion);
 
-/// A caller asks which addresses to use.
+/// Requests the addresses at which a service can be reached.
 #[derive(Debug, Message)]
 #[rtype(result = "Result<LocateAnswer, Refusal>")]
 pub(crate) struct Locate {
     /// The service.
     pub(crate) service: ServiceName,
-    /// Text that tells callers apart.
+    /// Text that identifies the caller.
     pub(crate) caller: String,
 }
 
-/// A caller asks which models it may use.
+/// Requests the models that a client account may use.
 #[derive(Debug, Message)]
 #[rtype(result = "Result<Vec<ModelView>, Refusal>")]
 pub(crate) struct ListModels {
@@ -71,7 +71,7 @@
     pub(crate) key: Option<PresentedKey>,
 }
 
-/// Whether the instance takes new requests.
+/// Requests whether the instance accepts new requests.
 #[derive(Debug, Message)]
 #[rtype(result = "bool")]
 pub(crate) struct IsReady;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! The entry process: everything that does I/O around the entry's state machine.
+//! The entry process: performs the I/O for the entry's state machine.
 //!
-//! HTTP workers read callers' requests and write answers; one actor, on a thread of its own, owns
-//! the state machine and carries out its effects with one task each.
+//! HTTP workers read callers' requests and write responses; one actor on a dedicated thread owns
+//! the state machine and runs each asynchronous effect as a separate task.
 
 mod actor;
 mod answer;
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -1,12 +1,12 @@
-//! HTTP handlers other than callers' requests: addresses, models, health, counters, claims.
+//! HTTP handlers for address lookup, models, health, metrics and claim queries.
 
 use actix_web::web::{Data, Json, Query};
 use actix_web::{HttpRequest, HttpResponse};
 use serde::Deserialize;
 
-use super::messages::{AskClaim, IsReady, ListModels, Locate};
-use super::reply::{refuse, refuse_saying};
-use super::request::{draw_request_id, read_key};
+use super::messages::{IsReady, ListModels, Locate, QueryClaim};
+use super::reply::{refuse, refuse_with_message};
+use super::request::{generate_request_id, read_key};
 use super::state::Gateway;
 use crate::entry::ModelView;
 use crate::ids::ServiceName;
@@ -28,13 +28,13 @@
     let Ok(Query(LocateQuery { service })) = query else {
         let refusal = Refusal::not_run(RefusalCode::UnknownService, None);
         let message = "name one service: /v1/locate?service=NAME";
-        return refuse_saying(&refusal, message, &draw_request_id());
+        return refuse_with_message(&refusal, message, &generate_request_id());
     };
     let caller = caller_text(&http);
     match gateway.actor.send(Locate { service, caller }).await {
         Ok(Ok(answer)) => HttpResponse::Ok().json(answer),
-        Ok(Err(refusal)) => refuse(&refusal, &draw_request_id()),
-        Err(_) => refuse(&stopping(), &draw_request_id()),
+        Ok(Err(refusal)) => refuse(&refusal, &generate_request_id()),
+        Err(_) => refuse(&stopping(), &generate_request_id()),
     }
 }
 
@@ -46,8 +46,8 @@
             object: "list".to_owned(),
             data: views.iter().flat_map(model_items).collect(),
         }),
-        Ok(Err(refusal)) => refuse(&refusal, &draw_request_id()),
-        Err(_) => refuse(&stopping(), &draw_request_id()),
+        Ok(Err(refusal)) => refuse(&refusal, &generate_request_id()),
+        Err(_) => refuse(&stopping(), &generate_request_id()),
     }
 }
 
@@ -81,7 +81,7 @@
 }
 
 /// `POST /internal/claims`, for other entries only.
-pub(crate) async fn ask_claim(
+pub(crate) async fn query_claim(
     gateway: Data<Gateway>,
     http: HttpRequest,
     question: Json<ClaimQuestion>,
@@ -90,11 +90,11 @@
     let key = key.as_ref().map_or("", PresentedKey::expose);
     if gateway.peer_key != Secret::from(key) {
         let refusal = Refusal::not_run(RefusalCode::Unauthenticated, None);
-        return refuse(&refusal, &draw_request_id());
+        return refuse(&refusal, &generate_request_id());
     }
-    match gateway.actor.send(AskClaim(question.into_inner())).await {
+    match gateway.actor.send(QueryClaim(question.into_inner())).await {
         Ok(working) => HttpResponse::Ok().json(ClaimAnswer { working }),
-        Err(_) => refuse(&stopping(), &draw_request_id()),
+        Err(_) => refuse(&stopping(), &generate_request_id()),
     }
 }
 
@@ -102,10 +102,10 @@
 pub(crate) async fn unknown_path() -> HttpResponse {
     let refusal = Refusal::not_run(RefusalCode::UnknownService, None);
     let message = "there is no such path; docs/API.md lists the calls";
-    refuse_saying(&refusal, message, &draw_request_id())
+    refuse_with_message(&refusal, message, &generate_request_id())
 }
 
-/// Tells callers apart: by key, else by the address they come from.
+/// Identifies a caller by its key or, without a key, by its IP address.
 fn caller_text(http: &HttpRequest) -> String {
     read_key(http.headers())
         .map(|key| key.expose().to_owned())
@@ -113,7 +113,7 @@
         .unwrap_or_default()
 }
 
-/// A model, and the model with each of its adapters.
+/// Lists a model alone and with each of its adapters.
 fn model_items(view: &ModelView) -> Vec<ModelItem> {
     let with_adapter = |adapter| format!("{}:{adapter}", view.model);
     let names = std::iter::once(view.model.clone());
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,4 +1,4 @@
-//! The entry process: starts its parts, waits for a stop, ends.
+//! Starts the components of the entry process and shuts them down.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, watch};
 
 use super::actor::{EntryActor, EntryActorParts, RunningEntry};
-use super::caller::CallerCount;
-use super::calls::Outside;
+use super::caller::CallerTracker;
+use super::calls::OutboundClients;
 use super::clock::Clock;
-use super::control_link::{ControlLink, REPORTS_WAITING};
+use super::control_link::{ControlLink, MAX_QUEUED_REPORTS};
 use super::messages::Deliver;
 use super::server;
 use super::signals::StopSignals;
@@ -31,51 +31,52 @@
 use crate::telemetry::Counters;
 use crate::wire::local::EntryReport;
 
-/// Longest wait for a whole body.
+/// Time limit for receiving a complete request body.
 const BODY_TIMEOUT_MS: u64 = 10_000;
-/// Time between two looks at whether every answer has left.
-const FLUSH_CHECK: Duration = Duration::from_millis(5);
-/// Once every answer is there, callers that take nothing of theirs for so long are gone: their
-/// connections have gone silent, and would hold up a planned stop for as long as the kernel tries.
-const FLUSH_STALL: Duration = Duration::from_secs(60);
+/// Interval between checks whether all responses have been handed to their connections.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// After all requests have ended, a planned stop gives up on the remaining callers if none of them
+/// reads for this long. A silent connection would otherwise delay the stop for as long as the
+/// kernel retransmits.
+const FLUSH_STALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the decisions of an entry rest on. The product has one variant, the default; others are
-/// baselines of measurements.
+/// Selects the policies of an entry. Production uses the default; other variants are baselines for
+/// measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EntryVariant {
-    /// How engines are chosen.
+    /// Policy for choosing engines.
     pub policy: PolicyKind,
-    /// Where the accounts' shares come from.
+    /// Source of the accounts' shares.
     pub shares: ShareSource,
 }
 
 /// Why the process could not start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The address cannot be listened on.
+    /// Listening on the address failed.
     #[error("cannot listen on {listen} ([entry] listen): {cause}")]
     Listen {
         /// The address.
         listen: SocketAddr,
-        /// Why.
+        /// The I/O error.
         cause: io::Error,
     },
-    /// Signals cannot be caught.
-    #[error("cannot catch signals: {0}")]
+    /// Installing the signal handlers failed.
+    #[error("cannot install signal handlers: {0}")]
     Signals(io::Error),
 }
 
-/// The parts of a started entry process.
+/// A running entry process.
 pub(crate) struct EntryProcess {
-    /// What its HTTP handlers share.
+    /// State shared by the HTTP handlers.
     pub(crate) gateway: Gateway,
-    /// Where it listens.
+    /// Listening address.
     pub(crate) address: SocketAddr,
     server: ServerHandle,
     stop_done: watch::Receiver<bool>,
 }
 
-/// Runs the entry process until it is told to stop.
+/// Runs the entry process until it receives a stop signal.
 pub async fn run(settings: Settings, variant: EntryVariant) -> Result<Exit, StartError> {
     let mut signals = StopSignals::catch().map_err(StartError::Signals)?;
     let mut process = EntryProcess::start(&settings, variant)?;
@@ -86,7 +87,7 @@
     tokio::select! {
         () = signals.next() => {}
         _ = alive.wait_for(|_| false) => {
-            log::error!(instance; "the entry's actor ended; its process ends too");
+            log::error!(instance; "entry actor terminated; exiting");
             return Ok(Exit::Fault);
         }
     }
@@ -99,8 +100,8 @@
             }
             Exit::Success
         }
-        () = forced(&mut signals, settings.stop.limit_ms) => {
-            report_cut(callers.open(), instance);
+        () = wait_for_forced_stop(&mut signals, settings.stop.limit_ms) => {
+            log_cut_requests(callers.open(), instance);
             Exit::Forced
         }
     };
@@ -109,7 +110,7 @@
 }
 
 impl EntryProcess {
-    /// Starts to take requests.
+    /// Starts accepting requests.
     pub(crate) fn start(settings: &Settings, variant: EntryVariant) -> Result<Self, StartError> {
         let limits = BodyLimits {
             max_bytes: settings.entry.max_body_bytes,
@@ -118,7 +119,7 @@
         Self::start_within(settings, limits, variant)
     }
 
-    /// Starts to take requests with bodies within the limits.
+    /// Starts accepting requests with the given body limits.
     pub(crate) fn start_within(
         settings: &Settings,
         limits: BodyLimits,
@@ -141,32 +142,32 @@
         })
     }
 
-    /// Tells the entry to stop, and waits until everything in flight has ended and every answer
-    /// has been handed to its connection; then lets the last bytes leave. Returns how many callers
-    /// took nothing any more and were left with a part of their answer.
+    /// Stops the entry: waits until all requests in flight have ended and every response has been
+    /// handed to its connection, then shuts the server down after the last bytes are sent. Returns
+    /// the number of stalled callers whose responses stayed incomplete.
     pub(crate) async fn stop(&mut self) -> usize {
-        self.stop_stalled_after(FLUSH_STALL).await
+        self.stop_with_stall_timeout(FLUSH_STALL_TIMEOUT).await
     }
 
-    pub(super) async fn stop_stalled_after(&mut self, stall: Duration) -> usize {
+    pub(super) async fn stop_with_stall_timeout(&mut self, stall: Duration) -> usize {
         self.gateway.begin_stop();
         self.gateway.actor.do_send(Deliver(EntryMessage::Stop));
         let _ = self.stop_done.wait_for(|done| *done).await;
-        let left = flush(&self.gateway.callers, stall).await;
-        self.server.stop(left == 0).await;
-        left
+        let stalled = flush(&self.gateway.callers, stall).await;
+        self.server.stop(stalled == 0).await;
+        stalled
     }
 }
 
-/// Waits until no caller is left without its whole answer, or those left take nothing any more.
-/// Returns how many are left.
-async fn flush(callers: &CallerCount, stall: Duration) -> usize {
-    let mut taken = callers.taken();
+/// Waits until every caller has its complete response, or no remaining caller has read for `stall`.
+/// Returns the number of remaining callers.
+async fn flush(callers: &CallerTracker, stall: Duration) -> usize {
+    let mut reads = callers.reads();
     let mut since = Instant::now();
     while callers.open() > 0 && since.elapsed() < stall {
-        tokio::time::sleep(FLUSH_CHECK).await;
-        if callers.taken() != taken {
-            taken = callers.taken();
+        tokio::time::sleep(FLUSH_CHECK_INTERVAL).await;
+        if callers.reads() != reads {
+            reads = callers.reads();
             since = Instant::now();
         }
     }
@@ -183,7 +184,7 @@
     socket.listen(server::BACKLOG)?.into_std()
 }
 
-/// Starts the actor on a thread of its own, and its exchange with the control on this one.
+/// Starts the actor on a dedicated thread, and the link to the control process on this thread.
 fn start_actor(
     settings: &Settings,
     body_limits: BodyLimits,
@@ -195,13 +196,13 @@
     let peer_key = settings.peers.key.clone();
     let control = settings.control.listen;
     let link = ControlLink::new(control, peer_key.clone(), counters.clone());
-    let (reports, waiting_reports) = mpsc::channel(REPORTS_WAITING);
+    let (reports, waiting_reports) = mpsc::channel(MAX_QUEUED_REPORTS);
     let actor = spawn_actor(settings, variant, clock, counters.clone(), reports, stopped);
     actix_rt::spawn(link.run(waiting_reports, actor.clone()));
     Gateway {
         actor,
         clock,
-        callers: CallerCount::default(),
+        callers: CallerTracker::default(),
         body_limits,
         peer_key,
         counters,
@@ -224,7 +225,7 @@
         EntryActor::new(EntryActorParts {
             entry: RunningEntry::new(config, variant.policy),
             clock,
-            outside: Outside {
+            outbound: OutboundClients {
                 table: HttpTable::new(&table_url),
                 engines: HttpEngines::new(),
                 applications: HttpPeers::default(),
@@ -255,8 +256,8 @@
     }
 }
 
-/// Waits for what ends a planned stop by force: a second signal, or the settings' limit.
-async fn forced(signals: &mut StopSignals, limit_ms: Option<u64>) {
+/// Waits until a planned stop must be forced: on a second signal or at the configured time limit.
+async fn wait_for_forced_stop(signals: &mut StopSignals, limit_ms: Option<u64>) {
     let limit = async {
         match limit_ms {
             Some(limit_ms) => tokio::time::sleep(Duration::from_millis(limit_ms)).await,
@@ -269,7 +270,7 @@
     }
 }
 
-fn report_cut(cut: usize, instance: &str) {
+fn log_cut_requests(cut: usize, instance: &str) {
     log::warn!(instance, cut_requests = cut; "stop forced");
     eprintln!("fescue-entry: stop forced: {cut} requests in flight were cut");
 }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! Renders final words other than streamed answers.
+//! Renders errors and application responses.
 
 use actix_web::http::StatusCode;
 use actix_web::http::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
@@ -9,10 +9,10 @@
 use crate::outcome::{OUTCOME_HEADER, Outcome, REQUEST_ID_HEADER, Refusal, RefusalCode};
 use crate::wire::caller::{ErrorAnswer, ErrorDetail};
 
-/// Response header that says that an answer is a recorded one.
+/// Response header that marks a stored response of an earlier call.
 const REPLAYED_HEADER: &str = "x-fescue-replayed";
 
-/// Begins a response: status, outcome and request id.
+/// Starts a response with its status, outcome and request id.
 pub(crate) fn begin(
     status: StatusCode,
     outcome: Outcome,
@@ -27,13 +27,17 @@
     response
 }
 
-/// Renders a refusal with the usual message of its code.
+/// Renders a refusal with the default message of its code.
 pub(crate) fn refuse(refusal: &Refusal, request: &RequestId) -> HttpResponse {
-    refuse_saying(refusal, message(refusal.code), request)
+    refuse_with_message(refusal, message(refusal.code), request)
 }
 
-/// Renders a refusal with a message of its own.
-pub(crate) fn refuse_saying(refusal: &Refusal, message: &str, request: &RequestId) -> HttpResponse {
+/// Renders a refusal with a custom message.
+pub(crate) fn refuse_with_message(
+    refusal: &Refusal,
+    message: &str,
+    request: &RequestId,
+) -> HttpResponse {
     let mut response = begin(status(refusal.code), refusal.outcome, request);
     if let Some(retry_after_ms) = refusal.retry_after_ms {
         response.insert_header((RETRY_AFTER, retry_after_s(retry_after_ms)));
@@ -41,8 +45,8 @@
     response.json(error_answer(refusal, message))
 }
 
-/// Renders an application's answer as it came.
-pub(crate) fn pass_on(
+/// Forwards an application's response unchanged.
+pub(crate) fn forward_reply(
     reply: ApplicationReply,
     replayed: bool,
     request: &RequestId,
@@ -70,7 +74,7 @@
     }
 }
 
-/// Whole seconds, rounded up and never 0, so that nobody comes back too early.
+/// Converts to seconds, rounded up and at least 1, so that callers do not retry too early.
 fn retry_after_s(retry_after_ms: u64) -> u64 {
     retry_after_ms.div_ceil(1_000).max(1)
 }
@@ -98,7 +102,7 @@
     }
 }
 
-/// What a code tells people.
+/// Default message of a code.
 pub(crate) fn message(code: RefusalCode) -> &'static str {
     match code {
         RefusalCode::Unauthenticated => "the key is missing, or no service lists it",
--- a/src/gateway/request.rs
+++ b/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! Reads callers' requests. What is read here is not yet checked against any document.
+//! Parses callers' requests. The result has not been checked against any document.
 
 use actix_web::http::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use sha2::{Digest, Sha256};
@@ -12,14 +12,14 @@
 };
 use crate::wire::caller::{ChatRequest, CompletionOptions, CompletionRequest};
 
-/// Tokens generated at most when the caller names no limit.
+/// Limit on generated tokens if the caller sets none.
 pub(crate) const DEFAULT_MAX_TOKENS: u32 = 512;
-/// Largest limit a caller may name.
+/// Largest token limit that a caller may set.
 pub(crate) const MAX_TOKENS_LIMIT: u32 = 65_536;
-/// Longest request id or idempotency key.
-const ID_LIMIT_BYTES: usize = 128;
-/// Longest deadline a caller may name: a day.
-const DEADLINE_LIMIT_MS: u64 = 86_400_000;
+/// Maximum length of a request id or idempotency key.
+const MAX_ID_BYTES: usize = 128;
+/// Longest deadline that a caller may set: one day.
+const MAX_DEADLINE_MS: u64 = 86_400_000;
 
 /// Why a request cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -30,22 +30,22 @@
         /// The limit.
         limit_bytes: usize,
     },
-    /// The body did not come, or broke off.
+    /// The body was not received completely.
     #[error("the body did not arrive whole within {timeout_ms} ms; send it again")]
     BodyIncomplete {
-        /// Time allowed.
+        /// Time limit.
         timeout_ms: u64,
     },
-    /// The body is not JSON of the shape asked for.
+    /// The body is not JSON with the expected structure.
     #[error("the body is not a valid request: {detail}")]
     Malformed {
-        /// The parser's words.
+        /// Parser error.
         detail: String,
     },
     /// A chat without messages.
     #[error("`messages` is empty; send at least one message")]
     NoMessages,
-    /// More than one answer is asked for.
+    /// More than one answer is requested.
     #[error("`n` is not served above 1; send one request for each answer")]
     SeveralAnswers,
     /// `max_tokens` is out of range.
@@ -54,15 +54,15 @@
     /// A header's value cannot be used.
     #[error("header `{name}` is not valid: {remedy}")]
     BadHeader {
-        /// Header.
+        /// Header name.
         name: &'static str,
-        /// What would be.
+        /// Description of valid values.
         remedy: &'static str,
     },
 }
 
 impl BadRequest {
-    /// The final word on such a request.
+    /// The final response to such a request.
     pub(crate) fn refusal(&self) -> Refusal {
         let code = match self {
             Self::BodyTooLarge { .. } => RefusalCode::BodyTooLarge,
@@ -73,29 +73,29 @@
     }
 }
 
-/// What a request's headers say.
+/// Parsed request headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct RequestHead {
     /// Key of the client account.
     pub(crate) key: Option<PresentedKey>,
-    /// Request id; drawn if the caller sent none.
+    /// Request id, generated if the caller sent none.
     pub(crate) request: RequestId,
     /// Idempotency key.
     pub(crate) idempotency_key: Option<IdempotencyKey>,
-    /// How long an answer is of use.
+    /// Time limit for the answer.
     pub(crate) deadline_ms: Option<u64>,
 }
 
-/// How an answer is to be given.
+/// Requested form of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AnswerForm {
     /// Shape of the answer.
     pub(crate) shape: AnswerShape,
-    /// The model as asked for.
+    /// Model name as requested.
     pub(crate) model: String,
-    /// Whether as server-sent events.
+    /// Whether the answer is sent as server-sent events.
     pub(crate) streamed: bool,
-    /// Whether a stream ends with a chunk that carries the usage.
+    /// Whether a stream ends with a chunk that contains the usage.
     pub(crate) include_usage: bool,
     /// Tokens of the prompt.
     pub(crate) prompt_tokens: u32,
@@ -114,7 +114,7 @@
 pub(crate) fn read_head(headers: &HeaderMap) -> Result<RequestHead, BadRequest> {
     let request = match read_id(headers, REQUEST_ID_HEADER)? {
         Some(text) => RequestId::from(text),
-        None => draw_request_id(),
+        None => generate_request_id(),
     };
     let idempotency_key = read_id(headers, IDEMPOTENCY_KEY_HEADER)?;
     Ok(RequestHead {
@@ -125,8 +125,8 @@
     })
 }
 
-/// Draws a request id for a caller that sent none.
-pub(crate) fn draw_request_id() -> RequestId {
+/// Generates a request id for a caller that sent none.
+pub(crate) fn generate_request_id() -> RequestId {
     RequestId::from(Uuid::now_v7().to_string())
 }
 
@@ -155,7 +155,7 @@
     };
     let text = value.to_str().map_err(|_| fault.clone())?;
     let visible = text.bytes().all(|byte| byte.is_ascii_graphic());
-    if text.is_empty() || text.len() > ID_LIMIT_BYTES || !visible {
+    if text.is_empty() || text.len() > MAX_ID_BYTES || !visible {
         return Err(fault);
     }
     Ok(Some(text))
@@ -167,7 +167,7 @@
     };
     let number = value.to_str().ok().and_then(|text| text.parse().ok());
     match number {
-        Some(deadline_ms) if deadline_ms <= DEADLINE_LIMIT_MS => Ok(Some(deadline_ms)),
+        Some(deadline_ms) if deadline_ms <= MAX_DEADLINE_MS => Ok(Some(deadline_ms)),
         _ => Err(BadRequest::BadHeader {
             name: DEADLINE_HEADER,
             remedy: "a number of milliseconds, a day at most",
@@ -238,7 +238,7 @@
     u32::try_from(text.split_whitespace().count()).unwrap_or(u32::MAX)
 }
 
-/// Splits the path behind `/v1/services/` into the service and the rest, with its query.
+/// Splits the path after `/v1/services/` into the service and the remaining path and query.
 pub(crate) fn split_service_path(path_and_query: &str) -> Option<(ServiceName, &str)> {
     let rest = path_and_query.strip_prefix("/v1/services/")?;
     let end = rest.find(['/', '?']).unwrap_or(rest.len());
@@ -249,7 +249,7 @@
     Some((ServiceName::from(service), path))
 }
 
-/// SHA-256 over method, path and body; tells whether a key or id is used for the same request.
+/// SHA-256 of method, path and body, which shows whether a key or id is reused for the same request.
 pub(crate) fn digest_request(method: &str, path: &str, body: &[u8]) -> [u8; 32] {
     let mut hasher = Sha256::new();
     for part in [method.as_bytes(), path.as_bytes(), body] {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server towards callers and other entries.
+//! The HTTP server for callers and other entries.
 
 use std::io;
 use std::net::TcpListener;
@@ -14,24 +14,24 @@
 use super::state::Gateway;
 use super::{handlers, pages};
 
-/// Threads that read requests and write answers.
+/// Worker threads that read requests and write responses.
 const WORKERS: usize = 2;
-/// Connections each worker holds at most.
-const CONNECTIONS_PER_WORKER: usize = 20_000;
-/// Connections that wait to be accepted at most.
+/// Maximum number of connections per worker.
+const MAX_CONNECTIONS_PER_WORKER: usize = 20_000;
+/// Maximum number of connections waiting to be accepted.
 pub(crate) const BACKLOG: u32 = 2_048;
-/// Longest wait for the head of a request.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a connection may be idle between two requests.
-const KEEP_ALIVE: Duration = Duration::from_secs(30);
-/// How long a connection may take to close.
+/// Time limit for receiving the head of a request.
+const HEADER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum idle time of a connection between two requests.
+const KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time limit for closing a connection.
 const DISCONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait, in a planned stop, for the last bytes of answers to leave.
+/// Time limit in a planned stop for sending the last bytes of responses.
 const FLUSH_TIMEOUT_S: u64 = 30;
-/// Largest question of another entry.
-const QUESTION_LIMIT_BYTES: usize = 16 << 10;
+/// Maximum size of a claim query.
+const MAX_CLAIM_QUERY_BYTES: usize = 16 << 10;
 
-/// Starts to take requests.
+/// Starts accepting requests.
 pub(crate) fn start(listener: TcpListener, gateway: Gateway) -> io::Result<Server> {
     let server = HttpServer::new(move || {
         App::new()
@@ -40,11 +40,11 @@
             .configure(routes)
     })
     .workers(WORKERS)
-    .max_connections(CONNECTIONS_PER_WORKER)
+    .max_connections(MAX_CONNECTIONS_PER_WORKER)
     .backlog(BACKLOG)
-    .client_request_timeout(HEAD_TIMEOUT)
+    .client_request_timeout(HEADER_TIMEOUT)
     .client_disconnect_timeout(DISCONNECT_TIMEOUT)
-    .keep_alive(KEEP_ALIVE)
+    .keep_alive(KEEP_ALIVE_TIMEOUT)
     .shutdown_timeout(FLUSH_TIMEOUT_S)
     .tcp_nodelay(true)
     .h1_allow_half_closed(false)
@@ -56,7 +56,7 @@
 
 fn routes(config: &mut ServiceConfig) {
     config
-        .app_data(web::JsonConfig::default().limit(QUESTION_LIMIT_BYTES))
+        .app_data(web::JsonConfig::default().limit(MAX_CLAIM_QUERY_BYTES))
         .route("/v1/locate", web::get().to(pages::locate))
         .route("/v1/models", web::get().to(pages::list_models))
         .route(
@@ -65,14 +65,14 @@
         )
         .route("/v1/completions", web::post().to(handlers::complete_text))
         .route("/v1/services/{path:.*}", web::to(handlers::call_service))
-        .route("/internal/claims", web::post().to(pages::ask_claim))
+        .route("/internal/claims", web::post().to(pages::query_claim))
         .route("/healthz", web::get().to(pages::health))
         .route("/readyz", web::get().to(pages::readiness))
         .route("/metrics", web::get().to(pages::metrics))
         .default_service(web::to(pages::unknown_path));
 }
 
-/// Closes each connection behind its response once the process is stopping.
+/// Closes each connection after its response while the process is stopping.
 async fn close_while_stopping<B>(
     request: ServiceRequest,
     next: Next<B>,
--- a/src/gateway/signals.rs
+++ b/src/gateway/signals.rs
@@ -11,7 +11,7 @@
 }
 
 impl StopSignals {
-    /// Catches them from now on.
+    /// Installs the signal handlers.
     pub(crate) fn catch() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -19,7 +19,7 @@
         })
     }
 
-    /// Waits for the next one.
+    /// Waits for the next signal.
     pub(crate) async fn next(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What every HTTP handler needs.
+//! State shared by the HTTP handlers.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -6,17 +6,18 @@
 use actix::Addr;
 
 use super::actor::EntryActor;
-use super::caller::CallerCount;
+use super::caller::CallerTracker;
 use super::clock::Clock;
 use crate::settings::Secret;
 use crate::telemetry::Counters;
 
-/// What a request's body may take.
+/// Limits on a request body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BodyLimits {
-    /// Largest body.
+    /// Maximum size.
     pub(crate) max_bytes: usize,
-    /// Longest wait for the whole body: a caller that goes silent holds nothing for longer.
+    /// Time limit for receiving the complete body, so that a silent caller cannot hold resources
+    /// for longer.
     pub(crate) timeout_ms: u64,
 }
 
@@ -27,15 +28,15 @@
     pub(crate) actor: Addr<EntryActor>,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// Callers without their whole answer.
-    pub(crate) callers: CallerCount,
-    /// What a request's body may take.
+    /// Callers with incomplete responses.
+    pub(crate) callers: CallerTracker,
+    /// Limits on request bodies.
     pub(crate) body_limits: BodyLimits,
-    /// Key shared by the system's own processes.
+    /// Shared key that authenticates the system's own processes to each other.
     pub(crate) peer_key: Secret,
     /// The process's counters.
     pub(crate) counters: Counters,
-    /// Whether connections are closed behind each response.
+    /// Whether connections are closed after each response.
     pub(crate) stopping: Arc<AtomicBool>,
 }
 
@@ -45,7 +46,7 @@
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// From now on connections are closed behind each response.
+    /// Makes the server close each connection after its next response.
     pub(crate) fn begin_stop(&self) {
         self.stopping.store(true, Ordering::Release);
     }
--- a/src/gateway/stream_call.rs
+++ b/src/gateway/stream_call.rs
@@ -1,4 +1,4 @@
-//! Open streams of engines: one task each, which passes on what it reads.
+//! Engine streams. Each open stream has a task that forwards its events to the actor.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,28 +8,32 @@
 use futures_util::StreamExt;
 
 use super::actor::EntryActor;
-use super::calls::Outside;
+use super::calls::OutboundClients;
 use super::messages::StreamRead;
 use crate::clients::{EngineCallFailure, HttpStream};
 use crate::instance::{CallId, StreamFailure};
 use crate::wire::engine::{OpenStream, StreamEvent};
 use crate::wire::sse::SseReader;
 
-/// Longest event of an engine's stream.
-const EVENT_LIMIT_BYTES: usize = 64 << 10;
-/// How long a stream that has ended may take to close, so that its connection is used again.
+/// Maximum size of an event of an engine's stream.
+const MAX_EVENT_BYTES: usize = 64 << 10;
+/// Time limit for reading an ended stream to the end of its body, so that the connection can be
+/// reused.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Opens a stream and passes on its events until it ends.
+/// Opens a stream and forwards its events until it ends.
 pub(crate) async fn run_stream(
-    outside: Rc<Outside>,
+    outbound: Rc<OutboundClients>,
     actor: Addr<EntryActor>,
     call: CallId,
     address: SocketAddr,
     open: OpenStream,
     fresh_connection: bool,
 ) {
-    let opened = outside.engines.open(address, &open, fresh_connection).await;
+    let opened = outbound
+        .engines
+        .open(address, &open, fresh_connection)
+        .await;
     let failure = match opened {
         Ok(stream) => follow_stream(stream, &actor, call).await,
         Err(EngineCallFailure::NotSent) => Some(StreamFailure::NotSent),
@@ -52,7 +56,7 @@
     actor: &Addr<EntryActor>,
     call: CallId,
 ) -> Option<StreamFailure> {
-    let mut reader = SseReader::new(EVENT_LIMIT_BYTES);
+    let mut reader = SseReader::new(MAX_EVENT_BYTES);
     while let Some(Ok(piece)) = stream.next().await {
         let read = read_events(&mut reader, &piece);
         let ended = read.events.last().is_some_and(StreamEvent::is_last);
@@ -93,7 +97,7 @@
     EventsRead { events, broken }
 }
 
-/// Reads to the end of the body, which gives the connection back to the pool.
+/// Reads to the end of the body, which returns the connection to the pool.
 async fn close_stream(mut stream: HttpStream) {
     let rest = async { while let Some(Ok(_)) = stream.next().await {} };
     let _ = tokio::time::timeout(CLOSE_TIMEOUT, rest).await;
--- a/src/gateway/tally.rs
+++ b/src/gateway/tally.rs
@@ -1,26 +1,26 @@
-//! What the driver counts between two updates of the process's counters.
+//! Counts collected by the actor between two updates of the process's counters.
 
 use indexmap::IndexMap;
 
 use crate::outcome::RefusalCode;
 use crate::telemetry::Counters;
 
-/// Counts since the last update; the state machine counts its own.
+/// Counts since the last update. The state machine keeps separate counts.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
-    /// Callers dropped because they read too slowly, or that were gone.
+    /// Callers dropped because they read too slowly or had disconnected.
     pub(crate) callers_dropped: u64,
     /// Streams opened at engines.
     pub(crate) streams: u64,
     /// Cancellations sent to engines.
     pub(crate) cancels: u64,
-    /// Calls of application endpoints.
+    /// Calls to application endpoints.
     pub(crate) application_calls: u64,
-    /// Calls of the table service.
+    /// Calls to the table service.
     pub(crate) table_calls: u64,
-    /// Questions for addresses.
+    /// Address lookups.
     pub(crate) locates: u64,
-    /// Reports that the control was too slow to take.
+    /// Reports dropped because the queue to the control process was full.
     pub(crate) reports_lost: u64,
     refusals: IndexMap<RefusalCode, u64>,
 }
@@ -31,7 +31,7 @@
         *self.refusals.entry(code).or_default() += 1;
     }
 
-    /// Adds everything to the counters and starts again at 0.
+    /// Adds the counts to the process's counters and resets them to 0.
     pub(crate) fn publish(&mut self, counters: &Counters) {
         let tally = std::mem::take(self);
         let counts = [
--- a/src/gateway/tests/chunks.rs
+++ b/src/gateway/tests/chunks.rs
@@ -1,6 +1,6 @@
 use bytes::BytesMut;
 
-use crate::gateway::chunk::{AnswerHead, ChunkRenderer, put_error, whole_answer};
+use crate::gateway::chunk::{AnswerHead, ChunkRenderer, full_answer, put_error};
 use crate::gateway::request::{AnswerForm, AnswerShape};
 use crate::ids::RequestId;
 use crate::outcome::{Refusal, RefusalCode};
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn texts_joined_give_the_whole() {
+fn joined_chunks_give_the_full_text() {
     let tokens = ["a", "\"b\"", "c\\d", "\u{1f96c}\t", "e"];
     for shape in [AnswerShape::Chat, AnswerShape::Text] {
         let data = data_of(&render(shape, &tokens));
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn a_whole_answer_has_message_reason_and_usage() {
+fn a_full_answer_has_message_reason_and_usage() {
     let form = form(AnswerShape::Chat);
-    let body = whole_answer(&form, &head(&form), "two tomatoes".to_owned(), 2, true);
+    let body = full_answer(&form, &head(&form), "two tomatoes".to_owned(), 2, true);
     insta::assert_snapshot!(String::from_utf8(body).unwrap());
 }
--- a/src/gateway/tests/fixture.rs
+++ b/src/gateway/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! An entry process in this one, with a model engine and an application endpoint beside it.
+//! Runs an entry process within the test process, with a model engine and an application endpoint.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 use indexmap::IndexMap;
 
 use crate::clients::{HttpEngines, HttpPeers, HttpTable};
-use crate::gateway::calls::Outside;
+use crate::gateway::calls::OutboundClients;
 use crate::gateway::messages::{Deliver, IsReady};
 use crate::gateway::process::{EntryProcess, EntryVariant};
 use crate::gateway::state::BodyLimits;
@@ -30,13 +30,13 @@
 pub(super) const DEADLINE: Duration = Duration::from_secs(10);
 const BODY_TIMEOUT_MS: u64 = 300;
 
-/// What the endpoints beside the entry have seen.
+/// Requests and streams observed by the test endpoints.
 #[derive(Clone, Default)]
 pub(super) struct Seen {
     pub(super) streams_open: Arc<AtomicUsize>,
     pub(super) streams_cut: Arc<AtomicUsize>,
     pub(super) calls: Arc<AtomicUsize>,
-    /// End of the connection that each stream came on.
+    /// Remote address of the connection that carried each stream.
     pub(super) stream_peers: Arc<Mutex<Vec<SocketAddr>>>,
 }
 
@@ -45,11 +45,11 @@
     pub(super) seen: Seen,
 }
 
-/// Starts everything; the engine waits `gap` before each token.
-pub(super) async fn start(gap: Duration) -> TestEntry {
+/// Starts the entry and its endpoints. The engine waits `token_interval` before each token after the first.
+pub(super) async fn start(token_interval: Duration) -> TestEntry {
     let seen = Seen::default();
-    let endpoint = start_endpoint(gap, seen.clone());
-    let process = start_process(nowhere());
+    let endpoint = start_endpoint(token_interval, seen.clone());
+    let process = start_process(unused_address());
     let snapshot = snapshot(endpoint, process.address);
     let message = Deliver(EntryMessage::SnapshotChanged { snapshot });
     process.gateway.actor.send(message).await.unwrap();
@@ -57,10 +57,10 @@
     TestEntry { process, seen }
 }
 
-/// Connections of an entry without a table service.
-pub(super) fn outside() -> Outside {
-    Outside {
-        table: HttpTable::new(&format!("http://{}", nowhere())),
+/// Clients of an entry without a table service.
+pub(super) fn outbound() -> OutboundClients {
+    OutboundClients {
+        table: HttpTable::new(&format!("http://{}", unused_address())),
         engines: HttpEngines::new(),
         applications: HttpPeers::default(),
         entries: HttpPeers::default(),
@@ -68,9 +68,9 @@
     }
 }
 
-/// Starts an entry process whose control listens at an address, without a snapshot.
+/// Starts an entry process without a snapshot, with its control process at `control`.
 pub(super) fn start_process(control: SocketAddr) -> EntryProcess {
-    let text = settings_text(control, nowhere());
+    let text = settings_text(control, unused_address());
     let settings = settings::parse(&text).unwrap();
     let limits = BodyLimits {
         max_bytes: settings.entry.max_body_bytes,
@@ -103,13 +103,13 @@
     tokio::time::timeout(DEADLINE, held).await.unwrap();
 }
 
-/// An address where nothing listens.
-pub(super) fn nowhere() -> SocketAddr {
+/// Returns a local address where nothing listens.
+pub(super) fn unused_address() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     listener.local_addr().unwrap()
 }
 
-fn settings_text(control: SocketAddr, nowhere: SocketAddr) -> String {
+fn settings_text(control: SocketAddr, unused_address: SocketAddr) -> String {
     format!(
         r#"
 [instance]
@@ -122,9 +122,9 @@
 [control]
 listen = "{control}"
 [platform]
-table = "http://{nowhere}"
-objects = "http://{nowhere}"
-instances = "http://{nowhere}"
+table = "http://{unused_address}"
+objects = "http://{unused_address}"
+instances = "http://{unused_address}"
 [peers]
 key = "{PEER_KEY}"
 "#
@@ -168,17 +168,17 @@
 
 #[derive(Clone)]
 struct EndpointState {
-    gap: Duration,
+    token_interval: Duration,
     seen: Seen,
 }
 
-/// Serves as an engine that holds every layer and as an application endpoint.
-fn start_endpoint(gap: Duration, seen: Seen) -> SocketAddr {
+/// Starts a server that acts as an engine with all layers and as an application endpoint.
+fn start_endpoint(token_interval: Duration, seen: Seen) -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let server = HttpServer::new(move || {
         let state = EndpointState {
-            gap,
+            token_interval,
             seen: seen.clone(),
         };
         App::new()
@@ -213,16 +213,16 @@
     })
 }
 
-/// Counts a stream as cut if it is dropped before its end.
+/// Counts a stream as cut if it is dropped before its last event.
 struct StreamGuard {
     seen: Seen,
-    whole: bool,
+    complete: bool,
 }
 
 impl Drop for StreamGuard {
     fn drop(&mut self) {
         self.seen.streams_open.fetch_sub(1, Ordering::SeqCst);
-        if !self.whole {
+        if !self.complete {
             self.seen.streams_cut.fetch_add(1, Ordering::SeqCst);
         }
     }
@@ -235,20 +235,20 @@
     state.seen.streams_open.fetch_add(1, Ordering::SeqCst);
     let guard = StreamGuard {
         seen: state.seen.clone(),
-        whole: false,
+        complete: false,
     };
-    let gap = state.gap;
+    let token_interval = state.token_interval;
     let events = stream::unfold((0, guard), move |(position, mut guard)| {
         let event = event_at(&open, position);
         async move {
             if position > 0 {
-                tokio::time::sleep(gap).await;
+                tokio::time::sleep(token_interval).await;
             }
             let event = event?;
-            guard.whole = matches!(event, StreamEvent::End { .. });
+            guard.complete = matches!(event, StreamEvent::End { .. });
             let data = serde_json::to_string(&event).unwrap();
-            let piece = Bytes::from(format!("data: {data}\n\n"));
-            Some((Ok::<_, std::io::Error>(piece), (position + 1, guard)))
+            let chunk = Bytes::from(format!("data: {data}\n\n"));
+            Some((Ok::<_, std::io::Error>(chunk), (position + 1, guard)))
         }
     });
     HttpResponse::Ok()
--- a/src/gateway/tests/paths.rs
+++ b/src/gateway/tests/paths.rs
@@ -9,8 +9,10 @@
 use indexmap::IndexSet;
 use serde_json::{Value, json};
 
-use super::fixture::{DEADLINE, KEY, PEER_KEY, TestEntry, nowhere, outside, start, wait_until};
-use crate::gateway::claim_call::{ask_holder, claim_question};
+use super::fixture::{
+    DEADLINE, KEY, PEER_KEY, TestEntry, outbound, start, unused_address, wait_until,
+};
+use crate::gateway::claim_call::{claim_question, query_holder};
 use crate::ids::Incarnation;
 use crate::instance::{CallId, EntryMessage};
 use crate::wire::caller::{ErrorAnswer, ModelsAnswer};
@@ -43,10 +45,10 @@
 }
 
 #[actix_web::test]
-async fn a_whole_answer_is_given() {
+async fn a_full_answer_is_returned() {
     let entry = start(FAST).await;
-    let ask = entry.post(CHAT).insert_header(("x-request-id", "r-1"));
-    let mut response = ask.send_json(&chat(3, false)).await.unwrap();
+    let request = entry.post(CHAT).insert_header(("x-request-id", "r-1"));
+    let mut response = request.send_json(&chat(3, false)).await.unwrap();
     assert_eq!(response.status(), StatusCode::OK);
     assert_eq!(header(&response, "x-fescue-outcome"), "done");
     assert_eq!(header(&response, "x-request-id"), "r-1");
@@ -69,8 +71,8 @@
 async fn connections_to_an_engine_are_used_again() {
     let entry = start(SLOW).await;
     let until = Instant::now() + DEADLINE;
-    // A stream takes another connection while the first is busy with a question about the engine's
-    // state, or not given back yet: six in a row must come to do with three.
+    // A stream uses another connection while the first one is busy reading the engine's state or has
+    // not been returned to the pool yet, so six consecutive streams may use up to three connections.
     while connections_of_last(&entry, 6).is_none_or(|count| count > 3) {
         assert!(Instant::now() < until, "connections are not used again");
         let mut response = entry.post(CHAT).send_json(&chat(2, false)).await.unwrap();
@@ -78,7 +80,7 @@
     }
 }
 
-/// Connections that the last `count` streams came on; `None` if there were not as many streams.
+/// Counts the connections used by the last `count` streams; `None` if there were fewer streams.
 fn connections_of_last(entry: &TestEntry, count: usize) -> Option<usize> {
     let peers = entry.seen.stream_peers.lock().unwrap();
     let first = peers.len().checked_sub(count)?;
@@ -97,7 +99,7 @@
 }
 
 #[actix_web::test]
-async fn a_caller_that_leaves_before_a_whole_answer_cancels_its_stream() {
+async fn a_caller_that_leaves_before_a_full_answer_cancels_its_stream() {
     let entry = start(SLOW).await;
     let body = chat(500, false);
     let asking = entry.post(CHAT).send_json(&body);
@@ -113,10 +115,10 @@
 #[actix_web::test]
 async fn an_application_call_is_passed_on() {
     let entry = start(FAST).await;
-    let ask = entry
+    let request = entry
         .post("/v1/services/ledger-api/prices?of=tomato")
         .insert_header(("x-request-id", "r-2"));
-    let mut response = ask.send_body("body").await.unwrap();
+    let mut response = request.send_body("body").await.unwrap();
     assert_eq!(response.status(), StatusCode::CREATED);
     assert_eq!(header(&response, "content-type"), "text/plain");
     assert_eq!(text(&mut response).await, "POST of=tomato r-2 body");
@@ -127,11 +129,11 @@
     let entry = start(FAST).await;
     let path = "/v1/services/ledger-api/stock-counts";
     let key = ("idempotency-key", uuid::Uuid::now_v7().to_string());
-    let mut ask = entry.post(path).insert_header(key);
-    let refused = error(ask.send_body("body").await.unwrap()).await;
+    let mut request = entry.post(path).insert_header(key);
+    let refused = error(request.send_body("body").await.unwrap()).await;
     assert_eq!(refused.0, StatusCode::SERVICE_UNAVAILABLE);
-    ask = entry.post(path);
-    let refused = error(ask.send_body("body").await.unwrap()).await;
+    request = entry.post(path);
+    let refused = error(request.send_body("body").await.unwrap()).await;
     assert_eq!(
         refused,
         (StatusCode::BAD_REQUEST, "missing_header".to_owned())
@@ -164,7 +166,7 @@
 }
 
 #[actix_web::test]
-async fn pages_answer() {
+async fn service_paths_respond() {
     let entry = start(FAST).await;
     let client = Client::default();
     for (path, status) in [
@@ -200,27 +202,27 @@
     assert_eq!(ids, expected);
 }
 
-async fn ask_claim(entry: &TestEntry, key: &str) -> ClientResponse {
+async fn query_claim(entry: &TestEntry, key: &str) -> ClientResponse {
     let question = json!({"wire_version": 1, "instance": "entry-lac-1",
         "incarnation": "00000000-0000-0000-0000-000000000000", "claim": "claims/x"});
-    let ask = Client::default().post(entry.url("/internal/claims"));
-    ask.bearer_auth(key).send_json(&question).await.unwrap()
+    let request = Client::default().post(entry.url("/internal/claims"));
+    request.bearer_auth(key).send_json(&question).await.unwrap()
 }
 
 #[actix_web::test]
 async fn claims_are_answered_to_other_entries_only() {
     let entry = start(FAST).await;
-    let mut answered = ask_claim(&entry, PEER_KEY).await;
+    let mut answered = query_claim(&entry, PEER_KEY).await;
     let answer: Value = answered.json().await.unwrap();
     assert_eq!(answer["working"], false);
-    let refused = ask_claim(&entry, KEY).await;
+    let refused = query_claim(&entry, KEY).await;
     assert_eq!(error(refused).await.1, "unauthenticated");
 }
 
 async fn working_at(address: SocketAddr) -> Option<bool> {
     let incarnation = Incarnation::draw(&mut rand::rng());
     let question = claim_question("entry-lac-1".into(), incarnation, "claims/x".to_owned());
-    let answer = ask_holder(Rc::new(outside()), CallId(1), address, question, 300);
+    let answer = query_holder(Rc::new(outbound()), CallId(1), address, question, 300);
     match answer.await.0 {
         EntryMessage::HolderAnswered { working, .. } => working,
         other => panic!("{other:?}"),
@@ -231,7 +233,7 @@
 async fn a_holder_is_gone_where_nothing_listens_but_not_where_it_is_silent() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     assert_eq!(working_at(silent.local_addr().unwrap()).await, None);
-    assert_eq!(working_at(nowhere()).await, Some(false));
+    assert_eq!(working_at(unused_address()).await, Some(false));
     let entry = start(FAST).await;
     assert_eq!(working_at(entry.process.address).await, Some(false));
 }
--- a/src/gateway/tests/replies.rs
+++ b/src/gateway/tests/replies.rs
@@ -1,7 +1,7 @@
 use actix_web::HttpResponse;
 use actix_web::body::to_bytes;
 
-use crate::gateway::reply::{message, pass_on, refuse, refuse_saying, status};
+use crate::gateway::reply::{forward_reply, message, refuse, refuse_with_message, status};
 use crate::ids::RequestId;
 use crate::instance::ApplicationReply;
 use crate::outcome::{Refusal, RefusalCode};
@@ -43,16 +43,16 @@
 }
 
 #[actix_web::test]
-async fn a_refusal_says_when_to_come_back() {
+async fn a_refusal_contains_the_retry_delay() {
     let refusal = Refusal::not_run(RefusalCode::AccountOverloaded, Some(1_001));
     let response = refuse(&refusal, &RequestId::from("r-1"));
     insta::assert_snapshot!(render(response).await);
 }
 
 #[actix_web::test]
-async fn a_refusal_that_coming_back_cannot_help() {
+async fn a_refusal_without_a_retry_delay() {
     let refusal = Refusal::unknown(RefusalCode::ResultUnknown, None);
-    let response = refuse_saying(&refusal, "not known", &RequestId::from("r-2"));
+    let response = refuse_with_message(&refusal, "not known", &RequestId::from("r-2"));
     insta::assert_snapshot!(render(response).await);
 }
 
@@ -63,7 +63,7 @@
         content_type: Some("text/plain".to_owned()),
         body: b"saved".to_vec(),
     };
-    let response = pass_on(reply, true, &RequestId::from("r-3"));
+    let response = forward_reply(reply, true, &RequestId::from("r-3"));
     insta::assert_snapshot!(render(response).await);
 }
 
--- a/src/gateway/tests/slow.rs
+++ b/src/gateway/tests/slow.rs
@@ -1,4 +1,4 @@
-//! Callers and controls that are slow, silent or gone.
+//! Tests with callers, engines and control processes that are slow, silent or gone.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,11 +11,10 @@
 use tokio::net::{TcpListener, TcpStream};
 
 use super::fixture::{
-    DEADLINE, KEY, TestEntry, nowhere, outside, snapshot, start, start_process, wait_until,
+    DEADLINE, KEY, TestEntry, outbound, snapshot, start, start_process, unused_address, wait_until,
 };
-use crate::gateway::caller::{EVENTS_LIMIT, WaitingCaller};
+use crate::gateway::caller::{MAX_BUFFERED_EVENTS, WaitingCaller};
 use crate::gateway::calls::cancel_stream;
-
 use crate::gateway::messages::{CallerArrived, IsReady};
 use crate::gateway::process::EntryProcess;
 use crate::ids::StreamId;
@@ -24,7 +23,7 @@
 use crate::wire::WIRE_VERSION;
 use crate::wire::local::{EntryReport, ExchangeReply};
 
-const AT_ONCE: Duration = Duration::ZERO;
+const NO_DELAY: Duration = Duration::ZERO;
 const SHORT: Duration = Duration::from_millis(100);
 
 async fn send(entry: &TestEntry, text: &str) -> TcpStream {
@@ -42,7 +41,7 @@
 
 #[actix_web::test]
 async fn a_caller_silent_in_the_middle_of_its_body_is_refused() {
-    let entry = start(AT_ONCE).await;
+    let entry = start(NO_DELAY).await;
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 50\r\n\r\n{";
     let answer = read_to_end(send(&entry, head).await).await;
     assert!(answer.contains("malformed_body"), "{answer}");
@@ -50,13 +49,13 @@
 
 #[actix_web::test]
 async fn a_caller_silent_in_the_middle_of_its_head_is_cut() {
-    let entry = start(AT_ONCE).await;
+    let entry = start(NO_DELAY).await;
     let answer = read_to_end(send(&entry, "POST /v1/comp").await).await;
     assert!(answer.starts_with("HTTP/1.1 408"), "{answer}");
 }
 
-/// A caller that asks for tokens and reads none of them.
-fn ask_unread(entry: &TestEntry, max_tokens: u32) -> WaitingCaller {
+/// Sends a request for tokens as a caller that reads none of them.
+fn send_without_reading(entry: &TestEntry, max_tokens: u32) -> WaitingCaller {
     let gateway = &entry.process.gateway;
     let (caller, events) = WaitingCaller::open(gateway.actor.clone(), gateway.callers.clone());
     let request = CallerRequest {
@@ -81,24 +80,24 @@
 
 #[actix_web::test]
 async fn a_caller_that_reads_nothing_is_dropped_and_its_stream_cut() {
-    let entry = start(AT_ONCE).await;
-    let _unread = ask_unread(&entry, 2 * EVENTS_LIMIT as u32);
+    let entry = start(NO_DELAY).await;
+    let _unread = send_without_reading(&entry, 2 * MAX_BUFFERED_EVENTS as u32);
     let cut = entry.seen.streams_cut.clone();
     wait_until(|| cut.load(Ordering::SeqCst) == 1).await;
 }
 
 #[actix_web::test]
 async fn a_caller_gone_silent_does_not_hold_up_a_stop() {
-    let mut entry = start(AT_ONCE).await;
-    let _unread = ask_unread(&entry, 3);
-    let stop = entry.process.stop_stalled_after(SHORT);
+    let mut entry = start(NO_DELAY).await;
+    let _unread = send_without_reading(&entry, 3);
+    let stop = entry.process.stop_with_stall_timeout(SHORT);
     let left = tokio::time::timeout(DEADLINE, stop).await;
     assert_eq!(left, Ok(1));
 }
 
 #[actix_web::test]
 async fn an_idle_connection_does_not_hold_up_a_stop() {
-    let mut entry = start(AT_ONCE).await;
+    let mut entry = start(NO_DELAY).await;
     let mut idle = send(&entry, "GET /healthz HTTP/1.1\r\nhost: x\r\n\r\n").await;
     let mut answer = [0; 512];
     assert_ne!(idle.read(&mut answer).await.unwrap(), 0);
@@ -108,11 +107,11 @@
 
 #[actix_web::test]
 async fn a_cancellation_lost_to_silence_is_sent_again() {
-    let engine = TcpListener::bind(nowhere()).await.unwrap();
+    let engine = TcpListener::bind(unused_address()).await.unwrap();
     let address = engine.local_addr().unwrap();
     let stream = StreamId::draw(&mut rand::rng());
-    let cancel = cancel_stream(Rc::new(outside()), address, stream, 1);
-    let tries = async {
+    let cancel = cancel_stream(Rc::new(outbound()), address, stream, 1);
+    let attempts = async {
         let (_silent, _) = engine.accept().await.unwrap();
         let (mut again, _) = engine.accept().await.unwrap();
         let mut head = [0; 512];
@@ -121,7 +120,7 @@
         again.write_all(answer).await.unwrap();
         String::from_utf8(head[..length].to_vec()).unwrap()
     };
-    let both = futures_util::future::join(cancel, tries);
+    let both = futures_util::future::join(cancel, attempts);
     let ((), sent) = tokio::time::timeout(DEADLINE, both).await.unwrap();
     assert!(sent.starts_with(&format!("POST /v1/streams/{stream}/cancel")));
 }
@@ -138,7 +137,7 @@
         _: String,
         report: EntryReport,
     ) -> Result<ExchangeReply, ErrorObjectOwned> {
-        let mut snapshot = snapshot(nowhere(), self.entry);
+        let mut snapshot = snapshot(unused_address(), self.entry);
         snapshot.version = self.version;
         Ok(ExchangeReply {
             wire_version: WIRE_VERSION,
@@ -160,7 +159,7 @@
 
 #[actix_web::test]
 async fn a_control_that_restarts_is_reached_again() {
-    let control = nowhere();
+    let control = unused_address();
     let entry = start_process(control);
     let first = start_control(control, &entry, 1).await;
     wait_for_snapshots(&entry, 1).await;
@@ -172,7 +171,7 @@
 
 #[actix_web::test]
 async fn a_control_that_falls_silent_is_left_and_reached_again() {
-    let control = nowhere();
+    let control = unused_address();
     let entry = start_process(control);
     let silent = TcpListener::bind(control).await.unwrap();
     let (kept, _) = silent.accept().await.unwrap();
