--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -24,7 +24,8 @@
 /// Buffer capacity reserved for each rendered token.
 const CHUNK_BYTES: usize = 256;
 
-/// A stream ended without the final word; its connection is cut so that it is not taken for whole.
+/// A response stream ended without a final event. The connection is closed abruptly, so that the
+/// caller does not mistake the response for a complete one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("response stream truncated before its end")]
 pub(crate) struct ResponseTruncated;
--- a/src/gateway/stream_call.rs
+++ b/src/gateway/stream_call.rs
@@ -57,8 +57,8 @@
     call: CallId,
 ) -> Option<StreamFailure> {
     let mut reader = SseReader::new(MAX_EVENT_BYTES);
-    while let Some(Ok(piece)) = stream.next().await {
-        let read = read_events(&mut reader, &piece);
+    while let Some(Ok(chunk)) = stream.next().await {
+        let read = read_events(&mut reader, &chunk);
         let ended = read.events.last().is_some_and(StreamEvent::is_last);
         if !read.events.is_empty() {
             actor.do_send(StreamRead {
@@ -83,10 +83,10 @@
     broken: bool,
 }
 
-fn read_events(reader: &mut SseReader, piece: &[u8]) -> EventsRead {
+fn read_events(reader: &mut SseReader, chunk: &[u8]) -> EventsRead {
     let mut events = Vec::new();
     let mut broken = false;
-    let pushed = reader.push(piece, |_, data| match serde_json::from_slice(data) {
+    let pushed = reader.push(chunk, |_, data| match serde_json::from_slice(data) {
         Ok(event) if !broken && !events.last().is_some_and(StreamEvent::is_last) => {
             events.push(event)
         }
