--- a/src/gateway/actor.rs
+++ b/src/gateway/actor.rs
@@ -27,7 +27,7 @@
 /// The state machine with the routing policy chosen at run time.
 pub(crate) type RunningEntry = Entry<PolicyKind>;
 
-/// Time between two updates of the counters.
+/// Interval between updates of the counters.
 const TALLY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Owns the entry's state machine and the resources needed to execute its effects.
@@ -56,7 +56,7 @@
     pub(crate) entry: RunningEntry,
     /// The process's clock.
     pub(crate) clock: Clock,
-    /// Connections to everything the entry calls.
+    /// Clients for all services that the entry calls.
     pub(crate) outbound: OutboundClients,
     /// Channel for reports to this instance's control process.
     pub(crate) reports: mpsc::Sender<EntryReport>,
--- a/src/gateway/messages.rs
+++ b/src/gateway/messages.rs
@@ -36,11 +36,11 @@
     pub(crate) caller: CallerId,
 }
 
-/// Events of one open stream that arrived together.
+/// Consecutive events of one open stream, received together.
 #[derive(Debug, Message)]
 #[rtype(result = "()")]
 pub(crate) struct StreamRead {
-    /// The call that opened it.
+    /// The call that opened the stream.
     pub(crate) call: CallId,
     /// The events, in order.
     pub(crate) events: Vec<StreamEvent>,
--- a/src/gateway/state.rs
+++ b/src/gateway/state.rs
@@ -21,7 +21,7 @@
     pub(crate) timeout_ms: u64,
 }
 
-/// Shared by the HTTP workers; cheap to clone.
+/// State shared by the HTTP workers; cheap to clone.
 #[derive(Clone)]
 pub(crate) struct Gateway {
     /// The entry's actor.
