--- a/src/gateway/claim_call.rs
+++ b/src/gateway/claim_call.rs
@@ -5,13 +5,13 @@
 
 use actix_web::http::header::AUTHORIZATION;
 
+use super::calls::OutboundClients;
+use super::messages::Deliver;
 use crate::clients::{HttpCall, HttpFailure};
 use crate::ids::{Incarnation, InstanceId};
 use crate::instance::{CallId, EntryMessage};
 use crate::wire::WIRE_VERSION;
 use crate::wire::claim::{CLAIMS_PATH, ClaimStatusRequest, ClaimStatusResponse};
-use super::calls::OutboundClients;
-use super::messages::Deliver;
 
 /// Maximum size of a response to a claim query.
 const MAX_REPLY_BYTES: usize = 4 << 10;
--- a/src/gateway/pages.rs
+++ b/src/gateway/pages.rs
@@ -4,6 +4,10 @@
 use actix_web::{HttpRequest, HttpResponse};
 use serde::Deserialize;
 
+use super::messages::{IsReady, ListModels, Locate, QueryClaim};
+use super::reply::{refuse, refuse_with_message};
+use super::request::{generate_request_id, read_key};
+use super::state::Gateway;
 use crate::entry::ModelView;
 use crate::ids::ServiceName;
 use crate::instance::PresentedKey;
@@ -11,10 +15,6 @@
 use crate::settings::Secret;
 use crate::wire::caller::{ModelItem, ModelList};
 use crate::wire::claim::{ClaimStatusRequest, ClaimStatusResponse};
-use super::messages::{IsReady, ListModels, Locate, QueryClaim};
-use super::reply::{refuse, refuse_with_message};
-use super::request::{generate_request_id, read_key};
-use super::state::Gateway;
 
 /// Query of `GET /v1/locate`.
 #[derive(Debug, Deserialize)]
--- a/src/gateway/tests/paths.rs
+++ b/src/gateway/tests/paths.rs
@@ -9,12 +9,14 @@
 use indexmap::IndexSet;
 use serde_json::{Value, json};
 
+use super::fixture::{
+    DEADLINE, KEY, PEER_KEY, TestEntry, outbound, start, unused_address, wait_until,
+};
 use crate::gateway::claim_call::{claim_question, query_holder};
 use crate::ids::Incarnation;
 use crate::instance::{CallId, EntryMessage};
 use crate::wire::caller::{ErrorResponse, ModelList};
 use crate::wire::locate::LocateResponse;
-use super::fixture::{DEADLINE, KEY, PEER_KEY, TestEntry, outbound, start, unused_address, wait_until};
 
 const FAST: Duration = Duration::from_millis(1);
 const SLOW: Duration = Duration::from_millis(20);
