--- a/src/relay/attempts.rs
+++ b/src/relay/attempts.rs
@@ -5,7 +5,7 @@
 use super::{AttemptLimit, FinalError, RefusalCause, RelayFailure};
 use crate::ids::EndpointId;
 use crate::invariant;
-use crate::route_table::RepeatPolicy;
+use crate::route_table::RetryPolicy;
 
 /// Maximum number of attempts that did not run (rejected by the endpoint or not sent) before a
 /// request without any response is refused. This is enough to get past a few endpoints that have
@@ -56,7 +56,7 @@
 /// an exhausted budget ends it.
 #[derive(Clone, Debug)]
 pub struct Attempts {
-    repeat: RepeatPolicy,
+    retry_policy: RetryPolicy,
     max_endpoints: usize,
     /// Endpoints that must not be used for this request.
     excluded: IndexSet<EndpointId>,
@@ -79,9 +79,9 @@
 impl Attempts {
     /// Creates the state of a request that has not been sent. `max_endpoints` bounds the number of
     /// endpoints on which the request runs.
-    pub fn new(repeat: RepeatPolicy, max_endpoints: u32) -> Self {
+    pub fn new(retry_policy: RetryPolicy, max_endpoints: u32) -> Self {
         Self {
-            repeat,
+            retry_policy,
             max_endpoints: max_endpoints.max(1) as usize,
             excluded: IndexSet::new(),
             readmitted: IndexSet::new(),
@@ -108,7 +108,7 @@
 
     /// Whether another endpoint may be tried if the current attempt fails after it started.
     pub fn may_try_another(&self) -> bool {
-        self.repeat.allows_rerun() && self.ran_on.len() + 1 < self.max_endpoints
+        self.retry_policy.allows_retry() && self.ran_on.len() + 1 < self.max_endpoints
     }
 
     /// Whether the request may have run somewhere.
@@ -197,7 +197,7 @@
 
     /// Records that the request is about to be sent.
     pub fn send_started(&mut self, endpoint: &EndpointId) {
-        let may_send = !self.may_have_run() || self.repeat.allows_rerun();
+        let may_send = !self.may_have_run() || self.retry_policy.allows_retry();
         invariant::check(may_send, "runs_at_most_once", || endpoint.clone());
         self.current_send = Some(endpoint.clone());
         self.sends += 1;
@@ -254,8 +254,8 @@
     /// The limit on retries that this request has reached, regardless of the budget.
     fn limit(&self) -> Option<AttemptLimit> {
         // A stream may return to an engine on which it ran, with other stages behind it.
-        let is_exhausted = self.restricted_to().is_some() && !self.repeat.is_stream();
-        if self.may_have_run() && !self.repeat.allows_rerun() {
+        let is_exhausted = self.restricted_to().is_some() && !self.retry_policy.is_stream();
+        if self.may_have_run() && !self.retry_policy.allows_retry() {
             Some(AttemptLimit::MayHaveRun)
         } else if self.has_started {
             (self.runs >= MAX_RUNS).then_some(AttemptLimit::Sends)
--- a/src/relay/limits_tests.rs
+++ b/src/relay/limits_tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::ids::EndpointId;
-use crate::route_table::RepeatPolicy;
+use crate::route_table::RetryPolicy;
 
-const STREAM: RepeatPolicy = RepeatPolicy::Stream { resumable: true };
+const STREAM: RetryPolicy = RetryPolicy::Stream { resumable: true };
 
 /// The failure of a request whose attempts end with these outcomes, each at another endpoint.
 fn failure_after<I>(
-    repeat: RepeatPolicy,
+    retry_policy: RetryPolicy,
     max_endpoints: u32,
     outcomes: I,
     has_budget: bool,
@@ -14,7 +14,7 @@
 where
     I: IntoIterator<Item = AttemptOutcome>,
 {
-    let mut attempts = Attempts::new(repeat, max_endpoints);
+    let mut attempts = Attempts::new(retry_policy, max_endpoints);
     let mut steps = outcomes.into_iter().enumerate().map(|(number, end)| {
         attempts.send_started(&EndpointId::from(format!("e{number}")));
         attempts.attempt_ended(end, || has_budget)
@@ -27,7 +27,7 @@
 
 #[test]
 fn non_idempotent_request_ends_once_it_may_have_run() {
-    let end = failure_after(RepeatPolicy::NonIdempotent, 4, [AttemptOutcome::Lost], true);
+    let end = failure_after(RetryPolicy::NonIdempotent, 4, [AttemptOutcome::Lost], true);
     assert_eq!(end.limit, AttemptLimit::MayHaveRun);
     assert_eq!(end.error, FinalError::Unknown);
 }
@@ -35,7 +35,7 @@
 #[test]
 fn idempotent_request_ends_at_the_endpoint_limit() {
     let lost = [AttemptOutcome::Lost, AttemptOutcome::Abandoned];
-    let end = failure_after(RepeatPolicy::Idempotent, 2, lost, true);
+    let end = failure_after(RetryPolicy::Idempotent, 2, lost, true);
     assert_eq!(end.limit, AttemptLimit::Endpoints);
     assert_eq!(end.error, FinalError::Unknown);
 }
@@ -65,7 +65,7 @@
 
 #[test]
 fn forwarded_failure_has_a_limit() {
-    let mut attempts = Attempts::new(RepeatPolicy::NonIdempotent, 2);
+    let mut attempts = Attempts::new(RetryPolicy::NonIdempotent, 2);
     attempts.send_started(&EndpointId::from("a"));
     let next = attempts.attempt_ended(AttemptOutcome::Failed, || true);
     assert_eq!(next, NextStep::ForwardFailure(AttemptLimit::MayHaveRun));
--- a/src/relay/tests.rs
+++ b/src/relay/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::ids::{EndpointId, ServiceName};
-use crate::route_table::RepeatPolicy;
+use crate::route_table::RetryPolicy;
 
 const SHARE: BudgetShare = BudgetShare {
     ratio: 0.2,
@@ -11,12 +11,12 @@
     instances: 2,
 };
 
-fn any_repeat() -> impl Strategy<Value = RepeatPolicy> {
+fn any_repeat() -> impl Strategy<Value = RetryPolicy> {
     prop_oneof![
-        Just(RepeatPolicy::Idempotent),
-        Just(RepeatPolicy::NonIdempotent),
-        Just(RepeatPolicy::Stream { resumable: true }),
-        Just(RepeatPolicy::Stream { resumable: false }),
+        Just(RetryPolicy::Idempotent),
+        Just(RetryPolicy::NonIdempotent),
+        Just(RetryPolicy::Stream { resumable: true }),
+        Just(RetryPolicy::Stream { resumable: false }),
     ]
 }
 
@@ -33,17 +33,17 @@
 proptest! {
     #[test]
     fn request_that_may_have_run_is_neither_retried_nor_reported_as_not_run(
-        repeat in any_repeat(),
+        retry_policy in any_repeat(),
         ends in prop::collection::vec((any_outcome(), any::<bool>()), 1..8),
     ) {
-        let mut attempts = Attempts::new(repeat, 2);
+        let mut attempts = Attempts::new(retry_policy, 2);
         let mut may_have_run = false;
         for (number, (end, has_budget)) in ends.into_iter().enumerate() {
             attempts.send_started(&EndpointId::from(format!("e{number}")));
             may_have_run |= !matches!(end, AttemptOutcome::NotSent | AttemptOutcome::TurnedAway);
             match attempts.attempt_ended(end, || has_budget) {
                 NextStep::Retry | NextStep::Resume => {
-                    prop_assert!(!may_have_run || repeat.allows_rerun());
+                    prop_assert!(!may_have_run || retry_policy.allows_retry());
                 }
                 NextStep::ForwardFailure(_) => {
                     prop_assert_eq!(end, AttemptOutcome::Failed);
@@ -127,7 +127,7 @@
 // their time left.
 #[test]
 fn partial_response_survives_a_rejected_retry() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let lost = attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -141,7 +141,7 @@
 
 #[test]
 fn partial_response_survives_an_exhausted_budget() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || false);
@@ -150,7 +150,7 @@
 
 #[test]
 fn partial_response_that_cannot_resume_ends_with_its_run() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: false }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -163,7 +163,7 @@
 
 #[test]
 fn request_without_response_is_refused_when_the_budget_is_exhausted() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     let next = attempts.attempt_ended(AttemptOutcome::TurnedAway, || false);
     let end = RelayFailure {
@@ -175,7 +175,7 @@
 
 #[test]
 fn partial_response_takes_its_retry_when_sending() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&EndpointId::from("first"));
     attempts.response_started();
     let next = attempts.attempt_ended(AttemptOutcome::Lost, || {
@@ -187,13 +187,13 @@
 #[test]
 fn partial_response_may_return_to_an_endpoint_that_was_full() {
     let (first, full) = (EndpointId::from("first"), EndpointId::from("full"));
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.exclude_after(&full, AttemptOutcome::TurnedAway);
     assert!(
         attempts.excluded().contains(&full),
         "no response has started"
     );
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.response_started();
     attempts.exclude_after(&first, AttemptOutcome::Lost);
     attempts.exclude_after(&full, AttemptOutcome::TurnedAway);
@@ -202,7 +202,7 @@
 
 #[test]
 fn partial_response_ends_after_the_maximum_number_of_runs() {
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.response_started();
     let mut runs = 0;
     let last = loop {
@@ -331,7 +331,7 @@
 #[test]
 fn silent_run_is_kept_when_no_other_may_follow() {
     let (first, second) = (EndpointId::from("first"), EndpointId::from("second"));
-    let mut attempts = Attempts::new(RepeatPolicy::Stream { resumable: true }, 2);
+    let mut attempts = Attempts::new(RetryPolicy::Stream { resumable: true }, 2);
     attempts.send_started(&first);
     attempts.response_started();
     attempts.attempt_ended(AttemptOutcome::Lost, || true);
@@ -340,7 +340,7 @@
     let lost = attempts.after_losing(&second).expect("it may run again");
     let restricted_to = lost.restricted_to().expect("it has run on two");
     assert!(restricted_to.iter().all(|it| lost.excluded().contains(it)));
-    let mut bound = Attempts::new(RepeatPolicy::Stream { resumable: false }, 2);
+    let mut bound = Attempts::new(RetryPolicy::Stream { resumable: false }, 2);
     bound.send_started(&first);
     assert!(
         bound.after_losing(&first).is_none(),
--- a/src/relay/unsent_tests.rs
+++ b/src/relay/unsent_tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 use crate::ids::{EndpointId, ServiceName};
-use crate::route_table::RepeatPolicy;
+use crate::route_table::RetryPolicy;
 
-const STREAM: RepeatPolicy = RepeatPolicy::Stream { resumable: true };
+const STREAM: RetryPolicy = RetryPolicy::Stream { resumable: true };
 
 /// Attempts of a stream whose first run was lost, with a retry for the next one.
 fn after_a_lost_run() -> Attempts {
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -154,7 +154,7 @@
             RefusalCause::Withheld,
         );
     }
-    let is_stream = relayed.route.repeat.is_stream();
+    let is_stream = relayed.route.retry_policy.is_stream();
     let has_model = table
         .services
         .get(&relayed.service)
@@ -251,7 +251,7 @@
     };
     let limit_ms = node.settings.bounds.stop_limit_ms;
     let open_all_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
-    let open_route_ms = if route.repeat.is_stream() {
+    let open_route_ms = if route.retry_policy.is_stream() {
         open_all_ms
     } else {
         open_all_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
--- a/src/relay_server/plain.rs
+++ b/src/relay_server/plain.rs
@@ -51,7 +51,7 @@
 where
     A: Adapter,
 {
-    let mut attempts = Attempts::new(request.route.repeat, request.route.max_endpoints);
+    let mut attempts = Attempts::new(request.route.retry_policy, request.route.max_endpoints);
     let mut sent = SendContext::default();
     let until = instant_at(request.deadline_ms, boot_ms());
     let serving = serve(node, &request, &mut attempts, &mut sent);
--- a/src/relay_server/stream.rs
+++ b/src/relay_server/stream.rs
@@ -99,7 +99,7 @@
     ) -> Self {
         Self {
             node: Rc::clone(node),
-            attempts: Attempts::new(request.route.repeat, request.route.max_endpoints),
+            attempts: Attempts::new(request.route.retry_policy, request.route.max_endpoints),
             splitter: EventSplitter::resuming_after(request.ask.resume_after),
             stall: StallDetector::new(boot_ms()),
             request,
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -10,6 +10,6 @@
 
 pub use held::{CurrentTable, TableChange, TableWithSource};
 pub use table::{
-    AcceleratorKind, Account, EngineModel, Limits, Rejection, RepeatPolicy, Resolved, Route,
+    AcceleratorKind, Account, EngineModel, Limits, Rejection, Resolved, RetryPolicy, Route,
     RouteTable, ServiceSpec, WeightedService,
 };
--- a/src/route_table/table.rs
+++ b/src/route_table/table.rs
@@ -6,7 +6,7 @@
 
 /// Whether requests of a route may be run again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatPolicy {
+pub enum RetryPolicy {
     /// The request may run more than once.
     Idempotent,
     /// The request may run at most once.
@@ -18,9 +18,9 @@
     },
 }
 
-impl RepeatPolicy {
+impl RetryPolicy {
     /// Whether a request may be run again when an earlier run may have started.
-    pub fn allows_rerun(self) -> bool {
+    pub fn allows_retry(self) -> bool {
         match self {
             Self::Idempotent => true,
             Self::NonIdempotent => false,
@@ -51,7 +51,7 @@
     /// Path prefix; starts and ends with a slash.
     pub prefix: String,
     /// Whether requests may be run again.
-    pub repeat: RepeatPolicy,
+    pub retry_policy: RetryPolicy,
     /// Maximum time until the caller gets a final response.
     pub timeout_ms: u64,
     /// Latency objective for an answer.
--- a/src/route_table/tests.rs
+++ b/src/route_table/tests.rs
@@ -7,7 +7,7 @@
     Route {
         name: prefix.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: RepeatPolicy::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         timeout_ms: 1_000,
         objective_ms: 100,
         pause_objective_ms: None,
