--- a/src/fleet/fleet_pacing.rs
+++ b/src/fleet/fleet_pacing.rs
@@ -27,7 +27,7 @@
 
     /// Records a peer's report that an endpoint has announced its own departure. Returns whether
     /// this changed the endpoint's phase.
-    pub fn record_announced_leaving(&mut self, id: &EndpointId, now_ms: u64) -> bool {
+    pub fn apply_self_reported_leaving(&mut self, id: &EndpointId, now_ms: u64) -> bool {
         self.pacing.record_leaving(id, now_ms);
         self.mark_leaving(id)
     }
--- a/src/fleet/lifetime_tests.rs
+++ b/src/fleet/lifetime_tests.rs
@@ -49,7 +49,7 @@
     let mut fleet = Fleet::default();
     write(&mut fleet, listed(&first, Some(LAYERS)), 0);
     fleet.record_failure(&first, EndpointFailure::Ended, 10);
-    fleet.record_peer_leaving(&reporting_peer(), &first, 10);
+    fleet.apply_leaving_report(&reporting_peer(), &first, 10);
     fleet.set_peers_load(&IndexMap::from([(first.clone(), tokens(700))]));
     let known = fleet.get_mut(&first).expect("listed");
     known.held_token_layers = 500;
@@ -83,7 +83,7 @@
         fleet.apply_peer_list(&reporting_peer(), vec![listed(&first, Some(LAYERS))], 40),
         []
     );
-    assert!(!fleet.record_peer_leaving(&reporting_peer(), &first, 50));
+    assert!(!fleet.apply_leaving_report(&reporting_peer(), &first, 50));
     fleet.record_failure(&first, EndpointFailure::Ended, 50);
     let known = fleet.get(&second).expect("listed");
     assert!(known.accepts_work());
@@ -212,7 +212,7 @@
                     fleet.apply_read(ListingRead::changes(vec![], removed), after_outage, now_ms);
                 }
                 Event::PeerLeaving { back } => {
-                    fleet.record_peer_leaving(&reporting_peer(), &lifetime("a", at(back)), now_ms);
+                    fleet.apply_leaving_report(&reporting_peer(), &lifetime("a", at(back)), now_ms);
                     touched.insert(at(back));
                 }
                 Event::CallFailure { back } => {
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -203,7 +203,12 @@
 
     /// Records a peer's report that an endpoint is leaving or was removed. Returns whether this
     /// changed the endpoint's phase.
-    pub fn record_peer_leaving(&mut self, peer: &InstanceId, id: &EndpointId, now_ms: u64) -> bool {
+    pub fn apply_leaving_report(
+        &mut self,
+        peer: &InstanceId,
+        id: &EndpointId,
+        now_ms: u64,
+    ) -> bool {
         self.leaving_reports
             .entry(id.clone())
             .or_insert(LeavingReport {
--- a/src/fleet/peer_report_tests.rs
+++ b/src/fleet/peer_report_tests.rs
@@ -9,8 +9,8 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
-    assert!(fleet.record_peer_leaving(&reporting_peer(), &a, 100));
-    assert!(!fleet.record_peer_leaving(&reporting_peer(), &a, 200));
+    assert!(fleet.apply_leaving_report(&reporting_peer(), &a, 100));
+    assert!(!fleet.apply_leaving_report(&reporting_peer(), &a, 200));
     fleet.expire(10_000);
     assert_eq!(
         phase(&fleet),
@@ -24,7 +24,7 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
-    fleet.record_peer_leaving(&reporting_peer(), &a, 100);
+    fleet.apply_leaving_report(&reporting_peer(), &a, 100);
     let removed = ListingRead::changes(vec![], vec![a.name()]);
     fleet.apply_read(removed, false, 200);
     assert_eq!(phase(&fleet), None);
@@ -45,7 +45,7 @@
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     // The peer saw the endpoint missing for a moment that no read of this instance showed.
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("a"), 100);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("a"), 100);
     let nothing = ListingRead::changes(vec![], vec![]);
     fleet.apply_read(nothing.clone(), false, 1_500);
     fleet.confirm(1_400);
@@ -65,7 +65,7 @@
 fn a_peers_report_of_a_leaving_endpoint_overrides_an_older_list() {
     let phase = |fleet: &Fleet| fleet.iter().next().map(|known| known.listed.phase);
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("a"), 100);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("a"), 100);
     fleet.apply_peer_list(&reporting_peer(), vec![listed("a", "lac", None)], 300);
     fleet.confirm(50);
     fleet.expire(1_700);
@@ -87,7 +87,7 @@
     let mut fleet = fleet(vec![listed("a", "lac", None)]);
     let a = EndpointId::from("a");
     fleet.apply_read(ListingRead::changes(vec![], vec![a.name()]), true, 100);
-    fleet.record_peer_leaving(&reporting_peer(), &a, 110);
+    fleet.apply_leaving_report(&reporting_peer(), &a, 110);
     fleet.confirm(1_900);
     fleet.expire(1_900);
     assert_eq!(phase(&fleet), Some(Phase::Leaving));
@@ -121,7 +121,7 @@
 fn a_list_for_a_peer_contains_only_what_was_read() {
     let mut fleet = fleet(vec![listed("a", "lac", Some(range(0, 10)))]);
     let a = EndpointId::from("a");
-    fleet.record_peer_leaving(&reporting_peer(), &a, 100);
+    fleet.apply_leaving_report(&reporting_peer(), &a, 100);
     fleet
         .get_mut(&a)
         .expect("listed")
@@ -143,12 +143,12 @@
     for is_reported in [false, true] {
         let mut fleet = fleet(vec![listed("a", "lac", None)]);
         if is_reported {
-            assert!(fleet.record_announced_leaving(&a, 100));
-            assert!(!fleet.record_announced_leaving(&a, 150));
+            assert!(fleet.apply_self_reported_leaving(&a, 100));
+            assert!(!fleet.apply_self_reported_leaving(&a, 150));
         } else {
             fleet.apply_pacing(&a, announced, 100);
         }
-        fleet.record_peer_leaving(&reporting_peer(), &a, 200);
+        fleet.apply_leaving_report(&reporting_peer(), &a, 200);
         fleet.apply_pacing(&a, Pacing::default(), 300);
         let removed = ListingRead::changes(vec![], vec![a.name()]);
         fleet.apply_read(removed, false, 400);
--- a/src/fleet/provenance_tests.rs
+++ b/src/fleet/provenance_tests.rs
@@ -65,8 +65,8 @@
 fn the_source_of_a_departure_is_the_first_heartbeat() {
     let mut fleet = fleet(&["a"]);
     let a = EndpointId::from("a");
-    fleet.record_peer_leaving(&peer(), &a, 100);
-    fleet.record_peer_leaving(&InstanceId::from("front-4"), &a, 180);
+    fleet.apply_leaving_report(&peer(), &a, 100);
+    fleet.apply_leaving_report(&InstanceId::from("front-4"), &a, 180);
     assert_eq!(known(&fleet, &["a"], 200), "a=heartbeat@front-3:100ms");
 }
 
@@ -110,7 +110,7 @@
 #[test]
 fn an_endpoint_that_the_list_has_shown_since_is_live_again_for_that_reason() {
     let mut fleet = fleet(&["a"]);
-    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.apply_leaving_report(&peer(), &EndpointId::from("a"), 100);
     let read = ListingRead::changes(vec![listed("a")], vec![]);
     assert_eq!(fleet.apply_read(read, false, 800), vec![]);
     fleet.confirm(790);
@@ -122,7 +122,7 @@
 #[test]
 fn an_endpoint_that_was_never_missing_is_live_again_for_that_reason() {
     let mut fleet = fleet(&["a"]);
-    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.apply_leaving_report(&peer(), &EndpointId::from("a"), 100);
     fleet.confirm(1_800);
     let expected = live_again(100, LiveReason::NeverMissing);
     let nothing = ListingRead::changes(vec![], vec![]);
@@ -132,7 +132,7 @@
 #[test]
 fn an_endpoint_that_the_list_shows_leaving_is_not_live_again() {
     let mut fleet = fleet(&["a"]);
-    fleet.record_peer_leaving(&peer(), &EndpointId::from("a"), 100);
+    fleet.apply_leaving_report(&peer(), &EndpointId::from("a"), 100);
     let leaving = ListedEndpoint {
         phase: Phase::Leaving,
         ..listed("a")
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -253,11 +253,11 @@
     let replaced = Some("a1=0-6,b2=6-13,c1=13-20".to_owned());
     assert_eq!(without_stage(&fleet, &chain, "b1"), replaced);
     // A stage that gets no new work keeps running what it has.
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("c1"), 0);
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("c2"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("c1"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("c2"), 0);
     assert_eq!(plan(&fleet, &["b1"]), None);
     assert_eq!(without_stage(&fleet, &chain, "b1"), replaced);
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("b2"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("b2"), 0);
     assert_eq!(without_stage(&fleet, &chain, "b1"), None);
 }
 
--- a/src/relay_server/list_propagation_tests/instance.rs
+++ b/src/relay_server/list_propagation_tests/instance.rs
@@ -237,7 +237,7 @@
             update_limit_shares(&mut self.fleet, &self.book, now_ms);
         }
         for id in &heartbeat.leaving {
-            self.fleet.record_peer_leaving(peer, id, now_ms);
+            self.fleet.apply_leaving_report(peer, id, now_ms);
         }
         !knows_all_changes
     }
--- a/src/relay_server/peers.rs
+++ b/src/relay_server/peers.rs
@@ -270,7 +270,7 @@
     }
     let mut fleet = node.fleet.borrow_mut();
     for id in &heartbeat.leaving {
-        if fleet.record_peer_leaving(&heartbeat.instance, id, now_ms) {
+        if fleet.apply_leaving_report(&heartbeat.instance, id, now_ms) {
             log::info!(
                 endpoint = id.as_str(),
                 peer = heartbeat.instance.as_str(),
@@ -280,7 +280,7 @@
         }
     }
     for id in &heartbeat.self_reported_leaving {
-        if fleet.record_announced_leaving(id, now_ms) {
+        if fleet.apply_self_reported_leaving(id, now_ms) {
             log::info!(endpoint = id.as_str(), peer = heartbeat.instance.as_str(); "peer reports that endpoint has announced that it is leaving");
         }
     }
