--- a/src/relay_server/list_parts_tests.rs
+++ b/src/relay_server/list_parts_tests.rs
@@ -4,7 +4,7 @@
 
 use super::list_log::{ListDelta, ListWatermark};
 use super::list_parts::{ListQuery, PartialList, RemainingList};
-use super::peer_selection_tests::{informant, with_newer_list};
+use super::peer_selection_tests::{sync_source, with_newer_list};
 use super::snapshot::KnownVersions;
 use crate::fleet::{ListedEndpoint, Phase};
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
@@ -117,7 +117,7 @@
 // instance from ever requesting the list from another peer.
 #[test]
 fn another_peer_is_asked_for_the_list_after_the_provider_is_lost() {
-    let both = [1, 2].map(|port| with_newer_list(informant(port, 1, true, true)));
+    let both = [1, 2].map(|port| with_newer_list(sync_source(port, 1, true, true)));
     let [provider, other] = &both;
     let mut partial = PartialList::default();
     let first =
--- a/src/relay_server/peer_selection_tests.rs
+++ b/src/relay_server/peer_selection_tests.rs
@@ -11,7 +11,7 @@
 const KNOWN: KnownVersions = KnownVersions { table: 5, list: 7 };
 const NOW_MS: u64 = 10_000;
 
-pub(super) fn informant(
+pub(super) fn sync_source(
     port: u16,
     table: u64,
     is_same_zone: bool,
@@ -28,12 +28,12 @@
     }
 }
 
-pub(super) fn with_newer_list(mut informant: SyncSource) -> SyncSource {
-    informant.list = ListWatermark {
+pub(super) fn with_newer_list(mut sync_source: SyncSource) -> SyncSource {
+    sync_source.list = ListWatermark {
         position: 9,
         last_change: 9,
     };
-    informant
+    sync_source
 }
 
 fn sync_state(behind_since_ms: Option<u64>) -> SyncState {
@@ -73,11 +73,11 @@
 
 fn all_peers() -> [SyncSource; 5] {
     [
-        informant(1, 5, true, true),
-        informant(2, 6, false, true),
-        informant(3, 6, true, true),
-        informant(4, 6, true, false),
-        informant(5, 7, true, true),
+        sync_source(1, 5, true, true),
+        sync_source(2, 6, false, true),
+        sync_source(3, 6, true, true),
+        sync_source(4, 6, true, false),
+        sync_source(5, 7, true, true),
     ]
 }
 
@@ -103,9 +103,9 @@
 
 #[test]
 fn peers_with_fast_links_are_selected_more_often() {
-    let mut fast = informant(1, 6, true, true);
+    let mut fast = sync_source(1, 6, true, true);
     fast.link_mbps = 200;
-    let all = [fast, informant(2, 6, true, true)];
+    let all = [fast, sync_source(2, 6, true, true)];
     let asked =
         (0..220).map(|random| next(&mut PeerSelector::default(), &all, None, random, NOW_MS));
     let fast = asked.filter(|it| port(it) == Some((1, true))).count();
@@ -129,7 +129,7 @@
 #[test]
 fn document_is_fetched_from_another_zone_only_after_a_delay() {
     let mut selector = PeerSelector::default();
-    let far = [informant(2, 6, false, true)];
+    let far = [sync_source(2, 6, false, true)];
     assert_eq!(
         next(&mut selector, &far, None, 0, NOW_MS),
         FetchDecision::Idle
@@ -145,7 +145,7 @@
 #[test]
 fn list_is_fetched_from_another_zone_immediately() {
     let mut selector = PeerSelector::default();
-    let far = [with_newer_list(informant(2, 6, false, true))];
+    let far = [with_newer_list(sync_source(2, 6, false, true))];
     let next = next(&mut selector, &far, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((2, false)));
 }
@@ -153,7 +153,7 @@
 #[test]
 fn busy_peer_is_selected_again_when_it_has_capacity() {
     let mut selector = PeerSelector::default();
-    let all = [informant(3, 6, true, true)];
+    let all = [sync_source(3, 6, true, true)];
     selector.mark_document_busy(&all[0].instance, 40, NOW_MS);
     let waits = next(&mut selector, &all, None, 0, NOW_MS + 10);
     assert_eq!(waits, FetchDecision::Wait { wait_ms: 30 });
@@ -164,7 +164,7 @@
 #[test]
 fn peer_busy_with_documents_is_selected_for_the_list() {
     let mut selector = PeerSelector::default();
-    let all = [with_newer_list(informant(3, 6, true, true))];
+    let all = [with_newer_list(sync_source(3, 6, true, true))];
     selector.mark_document_busy(&all[0].instance, 40, NOW_MS);
     let next = next(&mut selector, &all, None, 0, NOW_MS);
     assert_eq!(port(&next), Some((3, false)));
@@ -173,7 +173,7 @@
 #[test]
 fn failed_peer_is_skipped_for_a_while() {
     let mut selector = PeerSelector::default();
-    let all = [informant(3, 6, true, true), informant(4, 6, true, true)];
+    let all = [sync_source(3, 6, true, true), sync_source(4, 6, true, true)];
     selector.mark_failed(&all[0].instance, NOW_MS);
     for random in 0..40 {
         let next = next(&mut selector, &all, None, random, NOW_MS + 799);
