--- a/src/fleet/entry.rs
+++ b/src/fleet/entry.rs
@@ -149,7 +149,7 @@
         /// Address of the ended lifetime.
         address: SocketAddr,
         /// Lifetime that has started.
-        begun: EndpointId,
+        started: EndpointId,
     },
     /// The endpoint gets no new work from now on.
     Leaving(EndpointId),
--- a/src/fleet/lifetime_tests.rs
+++ b/src/fleet/lifetime_tests.rs
@@ -60,7 +60,7 @@
     let restarted = FleetChange::Restarted {
         ended: first.clone(),
         address: SocketAddr::from(([10, 0, 0, 1], 8_080)),
-        begun: second.clone(),
+        started: second.clone(),
     };
     assert_eq!(changes, [restarted]);
     assert!(fleet.get(&first).is_none());
--- a/src/fleet/listing.rs
+++ b/src/fleet/listing.rs
@@ -398,7 +398,7 @@
             Some((ended, known)) => changes.push(FleetChange::Restarted {
                 ended,
                 address: known.listed.address,
-                begun: started.clone(),
+                started: started.clone(),
             }),
             None if !self.endpoints.contains_key(started) => {
                 changes.push(FleetChange::Joined(started.clone()));
--- a/src/relay_server/fleet_lines.rs
+++ b/src/relay_server/fleet_lines.rs
@@ -14,9 +14,9 @@
         FleetChange::Joined(id) => {
             log::info!(endpoint = id.as_str(); "endpoint joined");
         }
-        FleetChange::Restarted { ended, begun, .. } => {
+        FleetChange::Restarted { ended, started, .. } => {
             log::info!(
-                endpoint = begun.as_str(),
+                endpoint = started.as_str(),
                 ended = ended.as_str();
                 "endpoint has started again"
             );
