--- a/src/relay_server/heartbeat.rs
+++ b/src/relay_server/heartbeat.rs
@@ -24,7 +24,7 @@
     pub(super) front: SocketAddr,
     /// Speed of its link. Instances with faster links rank ahead of others.
     pub(super) link_mbps: u32,
-    /// Interval in which its heartbeats reach every instance of other zones. Their time-out for this
+    /// Interval in which its heartbeats reach every instance of other zones. Their timeout for this
     /// instance depends on it.
     pub(super) cross_zone_interval_ms: u32,
     pub(super) availability: Availability,
--- a/src/relay_server/peer.rs
+++ b/src/relay_server/peer.rs
@@ -15,7 +15,7 @@
 
 /// Silence after which callers are no longer sent to a peer. Two heartbeats in a row may be lost.
 const PEER_TIMEOUT_MS: u64 = 800;
-/// Added to two cross-zone intervals for the time-out of a peer in another zone. Covers network delay and
+/// Added to two cross-zone intervals for the timeout of a peer in another zone. Covers network delay and
 /// a heartbeat that was sent late.
 const CROSS_ZONE_SLACK_MS: u64 = 300;
 
--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -35,7 +35,7 @@
 /// How long after the start of this process an instance that has a record but was not heard may still be
 /// starting.
 const STARTUP_MS: u64 = 1_000;
-/// How long after its time-out a silent instance is assumed to go on sending requests to endpoints.
+/// How long after its timeout a silent instance is assumed to go on sending requests to endpoints.
 const SENDER_MARGIN_MS: u64 = 2_000;
 /// Limit of each kind of endpoint update in a heartbeat; the others follow in the next one. A plan for
 /// thousands of engines, or the loss of as many, would otherwise exceed the size that peers can receive.
