--- a/src/relay_server/peer_book.rs
+++ b/src/relay_server/peer_book.rs
@@ -35,7 +35,7 @@
 /// How long after the start of this process an instance that has a record but was not heard may still be
 /// starting.
 const STARTUP_MS: u64 = 1_000;
-/// How long after its time-out a silent instance is assumed to go on sending requests to endpoints.
+/// How long after its timeout a silent instance is assumed to go on sending requests to endpoints.
 const SENDER_MARGIN_MS: u64 = 2_000;
 /// Limit of each kind of endpoint update in a heartbeat; the others follow in the next one. A plan for
 /// thousands of engines, or the loss of as many, would otherwise exceed the size that peers can receive.
@@ -87,7 +87,7 @@
     leaving: UpdateQueue<EndpointId>,
     self_reported_leaving: UpdateQueue<EndpointId>,
     layer_moves: Vec<(EndpointId, LayerRange)>,
-    /// Leases that this instance has released, by the highest fencing number under which it issued orders.
+    /// Leases that this instance has released, by the highest fencing token under which it issued orders.
     released_leases: IndexMap<ServiceName, u64>,
     /// Leases that peers have released, in the same form.
     peer_released_leases: IndexMap<ServiceName, u64>,
@@ -384,7 +384,7 @@
         self.is_heartbeat_requested = true;
     }
 
-    /// Announces that this instance issues no more orders under this fencing number.
+    /// Announces that this instance issues no more orders under this fencing token.
     pub(crate) fn announce_lease_release(&mut self, service: &ServiceName, fence: u64) {
         self.released_leases.insert(service.clone(), fence);
         self.is_heartbeat_requested = true;
