--- a/src/control/tests/sim.rs
+++ b/src/control/tests/sim.rs
@@ -48,7 +48,7 @@
     pub(super) peer_calls: u64,
     /// Bytes of their messages and answers, with what JSON-RPC and WebSocket add.
     pub(super) peer_bytes: u64,
-    /// Fencing numbers and the processes that sent orders under them.
+    /// Fencing tokens and the processes that sent orders under them.
     pub(super) fences: IndexMap<u64, (usize, u64)>,
     pub(super) list: Vec<(u64, InstanceList)>,
     pub(super) events: BinaryHeap<Reverse<(u64, u64)>>,
@@ -93,7 +93,7 @@
     /// Starts a new process pair at an instance.
     pub(super) fn start(&mut self, index: usize) {
         let now_ms = self.now_ms;
-        let incarnation = Incarnation::draw(&mut self.rng);
+        let incarnation = Incarnation::generate(&mut self.rng);
         let seed = self.rng.random();
         let node = &mut self.nodes[index];
         node.life += 1;
@@ -154,7 +154,7 @@
     pub(super) fn add_engine(&mut self, name: &str, first: u16, end: u16) -> SocketAddr {
         let address = SocketAddr::from(([10, 0, 1, 0], 1_000 + self.engines.len() as u16));
         let layers = LayerRange { first, end };
-        let incarnation = Incarnation::draw(&mut self.rng);
+        let incarnation = Incarnation::generate(&mut self.rng);
         let engine = FakeEngine::new(name, layers, incarnation);
         self.engines.insert(address, engine);
         let record = InstanceRecord {
--- a/src/entry/tests/fixture.rs
+++ b/src/entry/tests/fixture.rs
@@ -1,4 +1,4 @@
-//! A small fleet: four engines in two layer ranges, two replicas, one entry.
+//! Test fixture: four engines in two layer ranges, two replicas and one entry.
 
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
         instance: "entry-lac-1".into(),
         zone: "Lac".into(),
         advertise: address(7001),
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(seed)),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(seed)),
         seed,
         unix_at_start_ms: 1_800_000_000_000,
         limits: EntryLimits::default(),
@@ -142,7 +142,7 @@
 pub(super) fn engine_state(name: &str, first: u16, end: u16) -> EngineState {
     EngineState {
         endpoint: name.into(),
-        incarnation: Incarnation::draw(&mut SmallRng::seed_from_u64(u64::from(first))),
+        incarnation: Incarnation::generate(&mut SmallRng::seed_from_u64(u64::from(first))),
         accelerator: "small".to_owned(),
         model: "menu-mind-24b".to_owned(),
         version: "v1".to_owned(),
@@ -160,7 +160,7 @@
     }
 }
 
-/// An entry that knows the whole fleet.
+/// Creates an entry that has read the full snapshot and every engine's state.
 pub(super) fn entry() -> TestEntry {
     let mut entry = Entry::new(config(7), FlowWeighted);
     entry.handle(
@@ -227,7 +227,7 @@
     entry.handle(EntryMessage::Arrived { caller, request }, now_ms)
 }
 
-/// The stream that these effects open.
+/// Returns the stream opened by the effects, if any.
 pub(super) fn opened(effects: &[EntryEffect]) -> Option<(CallId, OpenStream)> {
     effects.iter().find_map(|effect| match effect {
         EntryEffect::OpenStream { call, open, .. } => Some((*call, open.clone())),
--- a/src/fleet/tests.rs
+++ b/src/fleet/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::ids::{EndpointId, InstanceId, ServiceName, ZoneName};
-use crate::route_table::{EngineKind, EngineModel};
+use crate::route_table::{AcceleratorKind, EngineModel};
 use crate::wire::engine::LayerRange;
 
 pub(super) fn range(first: u16, end: u16) -> LayerRange {
@@ -38,7 +38,7 @@
 }
 
 fn model() -> EngineModel {
-    let small = EngineKind {
+    let small = AcceleratorKind {
         memory_mb: 14_400.0,
         step_factor: 15.0,
         read_factor: 15.0,
@@ -253,11 +253,11 @@
     let replaced = Some("a1=0-6,b2=6-13,c1=13-20".to_owned());
     assert_eq!(without_stage(&fleet, &chain, "b1"), replaced);
     // A stage that gets no new work keeps running what it has.
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("c1"), 0);
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("c2"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("c1"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("c2"), 0);
     assert_eq!(plan(&fleet, &["b1"]), None);
     assert_eq!(without_stage(&fleet, &chain, "b1"), replaced);
-    fleet.record_peer_leaving(&reporting_peer(), &EndpointId::from("b2"), 0);
+    fleet.apply_leaving_report(&reporting_peer(), &EndpointId::from("b2"), 0);
     assert_eq!(without_stage(&fleet, &chain, "b1"), None);
 }
 
--- a/src/relay_server/checks.rs
+++ b/src/relay_server/checks.rs
@@ -79,7 +79,7 @@
 
 /// Compares the lifetime that was probed with the one that answered.
 pub(super) fn answering_lifetime(probed: &EndpointId, report: &EngineReport) -> AnsweringLifetime {
-    let (Some(probed_ms), Some(started_ms)) = (probed.born_unix_ms(), report.started_unix_ms)
+    let (Some(probed_ms), Some(started_ms)) = (probed.started_unix_ms(), report.started_unix_ms)
     else {
         return AnsweringLifetime::Current;
     };
--- a/src/relay_server/feeds.rs
+++ b/src/relay_server/feeds.rs
@@ -11,7 +11,7 @@
 use super::node::Node;
 use crate::clock::boot_ms;
 use crate::fleet::ListingRead;
-use crate::route_table::{SourcedTable, TableChange};
+use crate::route_table::{TableChange, TableWithSource};
 
 /// How long a watch waits in the store for a change. When the store becomes unreachable, the table
 /// is at most this old, which leaves 3.2 s of the 4.9 s for which keys in it are trusted. A shorter
@@ -87,23 +87,23 @@
 
 /// Applies the result of a table read that was sent at `sent_ms`; `None` means that there is no
 /// newer table. Returns whether a new table has come into force.
-pub(super) fn apply_table<A>(node: &Node<A>, read: Option<SourcedTable>, sent_ms: u64) -> bool {
+pub(super) fn apply_table<A>(node: &Node<A>, read: Option<TableWithSource>, sent_ms: u64) -> bool {
     let Some(sourced) = read else {
         node.table.borrow_mut().confirm(sent_ms);
         return false;
     };
     let version = sourced.table.version;
-    let change = node.table.borrow_mut().offer(sourced, sent_ms);
+    let change = node.table.borrow_mut().update(sourced, sent_ms);
     node.update_informed();
     match change {
-        TableChange::InForce => {
+        TableChange::Applied => {
             log::info!(table = version, read_sent_ms = sent_ms; "route table is in force");
             node.counters.count("relay.tables");
         }
         TableChange::Confirmed => {}
-        TableChange::Older => log::warn!(table = version; "ignored an older route table"),
+        TableChange::Stale => log::warn!(table = version; "ignored an older route table"),
     }
-    change == TableChange::InForce
+    change == TableChange::Applied
 }
 
 /// Keeps the endpoint list up to date until the process exits.
--- a/src/relay_server/front.rs
+++ b/src/relay_server/front.rs
@@ -80,7 +80,10 @@
 pub(crate) fn metrics_page<A>(node: &Node<A>) -> Response<BoxBody> {
     node.counters
         .gauge("relay.open_requests", node.open_requests.get());
-    Response::with_body(StatusCode::OK, BoxBody::new(node.counters.page()))
+    Response::with_body(
+        StatusCode::OK,
+        BoxBody::new(node.counters.render_prometheus()),
+    )
 }
 
 fn serve_local_page<A>(node: &Node<A>, page: &LocalPage) -> Response<BoxBody>
@@ -113,7 +116,7 @@
     let Some(table) = node.routes() else {
         return refuse(node, "", None, RefusalCause::NoTable);
     };
-    if headers::head_bytes(request.head()) > table.limits.max_head_bytes {
+    if headers::head_bytes(request.head()) > table.limits.max_header_bytes {
         let status = StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE;
         return status_response(node, status);
     }
@@ -151,7 +154,7 @@
             RefusalCause::Withheld,
         );
     }
-    let is_stream = relayed.route.repeat.is_stream();
+    let is_stream = relayed.route.retry_policy.is_stream();
     let has_model = table
         .services
         .get(&relayed.service)
@@ -248,7 +251,7 @@
     };
     let limit_ms = node.settings.bounds.stop_limit_ms;
     let open_all_ms = limit_ms * STOP_ACCEPT_PERCENT / 100;
-    let open_route_ms = if route.repeat.is_stream() {
+    let open_route_ms = if route.retry_policy.is_stream() {
         open_all_ms
     } else {
         open_all_ms.max(limit_ms.saturating_sub(route.timeout_ms + STOP_RESERVE_MS))
--- a/src/relay_server/snapshot.rs
+++ b/src/relay_server/snapshot.rs
@@ -33,7 +33,7 @@
 use crate::clients::{HttpCall, HttpFailure, HttpPeer};
 use crate::clock::boot_ms;
 use crate::ids::InstanceId;
-use crate::route_table::SourcedTable;
+use crate::route_table::TableWithSource;
 
 /// Interval between two checks whether a peer has newer versions.
 pub(super) const POLL_INTERVAL_MS: u64 = 250;
@@ -396,7 +396,7 @@
             "received document from peers"
         );
         let source = complete.content;
-        let sourced = SourcedTable { table, source };
+        let sourced = TableWithSource { table, source };
         if apply_table(node, Some(sourced), complete.newest_at_ms) {
             node.request_heartbeat();
         }
--- a/src/route_table/mod.rs
+++ b/src/route_table/mod.rs
@@ -1,15 +1,15 @@
-//! What operators decide about relayed requests: routes, services, client accounts and limits.
+//! Operator configuration of relayed requests: routes, services, client accounts and limits.
 //!
-//! A [`RouteTable`] is one accepted version, whole. [`HeldTable`] keeps the newest one and how
-//! long ago it was known to be the newest.
+//! A [`RouteTable`] is one complete accepted version. [`CurrentTable`] holds the newest known
+//! version and the time at which it was last confirmed to be the newest.
 
 mod held;
 mod table;
 #[cfg(test)]
 mod tests;
 
-pub use held::{HeldTable, SourcedTable, TableChange};
+pub use held::{CurrentTable, TableChange, TableWithSource};
 pub use table::{
-    Account, EngineKind, EngineModel, Limits, Rejection, Repeat, Resolved, Route, RouteTable,
-    ServiceSpec, WeightedService,
+    AcceleratorKind, Account, EngineModel, Limits, Rejection, Resolved, RetryPolicy, Route,
+    RouteTable, ServiceSpec, WeightedService,
 };
